--- a/src/control/node/proxy_attachments.ts
+++ b/src/control/node/proxy_attachments.ts
@@ -10,7 +10,7 @@
 import {
   Phase,
   type ControlMessage,
-  type LeaseAsk,
+  type LeaseRequest,
   type LeaseGrant,
   type ProxyMessage,
   type ProxyRecord,
@@ -72,7 +72,7 @@
   }
 
   /** Answers a question for a lease once a majority confirms this leader. */
-  async onAsk(proxy: ProxyRecord, ask: LeaseAsk): Promise<void> {
+  async onAsk(proxy: ProxyRecord, ask: LeaseRequest): Promise<void> {
     const attachment = this.open.get(proxyName(proxy));
     if (!attachment) return;
     const {leases, clock, node} = this.around;
--- a/src/proxy/node/proxy_services.ts
+++ b/src/proxy/node/proxy_services.ts
@@ -17,9 +17,9 @@
 import type {Settings} from '../../services/settings/common/settings';
 import type {TargetStatus} from '../../schema/generated/announcement';
 import {
-  type HandBack,
+  type LeaseReturn,
   type LeaseGrant,
-  type Suspicion,
+  type FailureReport,
 } from '../../schema/generated/control';
 import {ServiceRouter} from './service_router';
 
@@ -102,14 +102,14 @@
     }
   }
 
-  suspicions(): Suspicion[] {
+  suspicions(): FailureReport[] {
     return [...this.running.values()].flatMap(({router}) => {
       const suspicion = router.suspicion();
       return suspicion && isSerious(suspicion) ? [suspicion] : [];
     });
   }
 
-  handBacks(): HandBack[] {
+  handBacks(): LeaseReturn[] {
     return [...this.running.values()].flatMap(({router}) => {
       const handBack = router.handBack();
       return handBack ? [handBack] : [];
@@ -155,7 +155,7 @@
 const SERIOUS_SILENCE_MS = 100;
 
 /** Worth a word to control; a steady service costs no bytes. */
-function isSerious({silentMs, refused, unconfirmedMs}: Suspicion): boolean {
+function isSerious({silentMs, refused, unconfirmedMs}: FailureReport): boolean {
   const silent = silentMs >= SERIOUS_SILENCE_MS;
   return refused || silent || unconfirmedMs >= SERIOUS_SILENCE_MS;
 }
--- a/src/proxy/node/service_router.ts
+++ b/src/proxy/node/service_router.ts
@@ -39,9 +39,9 @@
 import {Role, type TargetStatus} from '../../schema/generated/announcement';
 import {
   Phase,
-  type HandBack,
+  type LeaseReturn,
   type ServiceRecord,
-  type Suspicion,
+  type FailureReport,
 } from '../../schema/generated/control';
 import {ArrivalPositions} from '../common/arrival';
 import {ArrivalQuestion} from '../common/arrival_question';
@@ -194,7 +194,7 @@
   }
 
   /** What control should know with the next question for a lease. */
-  suspicion(): Suspicion | undefined {
+  suspicion(): FailureReport | undefined {
     const {record} = this;
     if (record?.phase !== Phase.PHASE_STEADY) return undefined;
     const {directory, service, clock} = this.around;
@@ -210,7 +210,7 @@
   }
 
   /** This proxy's word about terms that it has given up. */
-  handBack(): HandBack | undefined {
+  handBack(): LeaseReturn | undefined {
     const {record} = this;
     if (!record || record.phase !== Phase.PHASE_CHANGING) return undefined;
     if (this.lease.term < record.term) return undefined;
--- a/src/services/dispatch/node/dispatcher_messages.ts
+++ b/src/services/dispatch/node/dispatcher_messages.ts
@@ -3,7 +3,7 @@
 import type {
   Member,
   ServiceEntry,
-  ServiceLead,
+  PrimaryAssignment,
 } from '../../../schema/generated/fleet';
 import type {LeadProofs} from '../../lease/common/lead_leases';
 import type {Position} from '../../position/common/position';
@@ -76,7 +76,7 @@
       /** Whether its requests are admitted by class. */
       readonly isByClass: boolean;
     }
-  | {readonly kind: 'lead'; readonly lead: ServiceLead}
+  | {readonly kind: 'lead'; readonly lead: PrimaryAssignment}
   | {readonly kind: 'witness'; readonly wish: ProofWish}
   | {readonly kind: 'changed'}
   | {readonly kind: 'tick'};
--- a/src/services/dispatch/node/service_dispatcher.ts
+++ b/src/services/dispatch/node/service_dispatcher.ts
@@ -3,7 +3,7 @@
 import {
   ClaimedRole,
   type Member,
-  type ServiceLead,
+  type PrimaryAssignment,
 } from '../../../schema/generated/fleet';
 import {
   SHARED_USER,
@@ -373,7 +373,7 @@
     this.judgePrimary();
   }
 
-  private onLead({instance, epoch}: ServiceLead): void {
+  private onLead({instance, epoch}: PrimaryAssignment): void {
     if (!this.belief.take(instance, epoch)) return;
     this.noteBelief('control');
     this.judgePrimary();
--- a/src/services/failover/test/common/world.ts
+++ b/src/services/failover/test/common/world.ts
@@ -9,7 +9,7 @@
 import {
   Phase,
   type Command,
-  type LeaseAsk,
+  type LeaseRequest,
   type ServiceRecord,
 } from '../../../../schema/generated/control';
 import {Commits} from '../../../confirmation/common/commits';
@@ -284,7 +284,7 @@
     proxy.commits.onLease(now);
   }
 
-  private askOf(proxy: ModelProxy): LeaseAsk {
+  private askOf(proxy: ModelProxy): LeaseRequest {
     const {record, lease, commits} = proxy;
     const now = this.clock.now();
     const changing = record?.phase === Phase.PHASE_CHANGING;
--- a/src/services/fleet_link/node/fleet_follower.ts
+++ b/src/services/fleet_link/node/fleet_follower.ts
@@ -11,7 +11,7 @@
   PoolerChanges,
   PoolerEntry,
   PrimaryReport,
-  ServiceLead,
+  PrimaryAssignment,
 } from '../../../schema/generated/fleet';
 import type {CatalogLease} from '../../account/common/catalog_lease';
 import type {PermitCounter} from '../../account/common/counting';
@@ -36,7 +36,7 @@
   onDidReceiveCatalog(catalog: Catalog): void;
   onDidReceiveMembers(members: FleetMembers): void;
   onDidReceivePoolers(poolers: FleetPoolers): void;
-  onDidReceiveLeads(leads: readonly ServiceLead[]): void;
+  onDidReceiveLeads(leads: readonly PrimaryAssignment[]): void;
   onDidReceiveCounters(counters: readonly CounterEntry[]): void;
   /** A majority confirmed that the newest catalog of all is known here. */
   onDidConfirmCatalog(): void;
@@ -293,7 +293,10 @@
     this.tryNext();
   }
 
-  private onLeads(stream: FollowerStream, leads: readonly ServiceLead[]): void {
+  private onLeads(
+    stream: FollowerStream,
+    leads: readonly PrimaryAssignment[],
+  ): void {
     for (const returned of this.options.leases.onLeads(leads)) {
       stream.write({$case: 'returned', value: returned});
     }
--- a/src/services/fleet_state/common/fleet_machine.ts
+++ b/src/services/fleet_state/common/fleet_machine.ts
@@ -4,9 +4,9 @@
   FleetState,
   type PublishCatalog,
   type Member,
-  type NameLead,
+  type AssignPrimary,
   type PoolerEntry,
-  type ServiceLead,
+  type PrimaryAssignment,
 } from '../../../schema/generated/fleet';
 
 /** What became of a catalog that was put into the log. */
@@ -32,7 +32,7 @@
   private namedAt = 0;
   private proxyCount = 0;
   private countersNamed: readonly CounterEntry[] = [];
-  private readonly leadOf = new Map<string, ServiceLead>();
+  private readonly leadOf = new Map<string, PrimaryAssignment>();
 
   /** Outcomes of the newest entries, for those who proposed them. */
   private readonly outcomes = new Map<number, PublishOutcome>();
@@ -72,12 +72,12 @@
   }
 
   /** Who leads each service, by the newest decision. */
-  get leads(): readonly ServiceLead[] {
+  get leads(): readonly PrimaryAssignment[] {
     return [...this.leadOf.values()];
   }
 
   /** Who leads a service; undefined before the first decision. */
-  lead(service: string): ServiceLead | undefined {
+  lead(service: string): PrimaryAssignment | undefined {
     return this.leadOf.get(service);
   }
 
@@ -174,7 +174,7 @@
     this.registered.push(member);
   }
 
-  private nameLead(epoch: number, {service, instance, ordered}: NameLead) {
+  private nameLead(epoch: number, {service, instance, ordered}: AssignPrimary) {
     const known = this.leadOf.get(service);
     // A copy of an earlier order for the same member may still be on its way.
     const wasOrdered = known?.instance === instance && known.pending;
--- a/src/services/gateway/node/gateway.ts
+++ b/src/services/gateway/node/gateway.ts
@@ -7,7 +7,7 @@
   DatabaseRoute,
   PrimaryReport,
   ServiceEntry,
-  ServiceLead,
+  PrimaryAssignment,
 } from '../../../schema/generated/fleet';
 import {ClassAdmission} from '../../admission/common/class_admission';
 import type {CatalogLease} from '../../account/common/catalog_lease';
@@ -80,7 +80,7 @@
   private siteOf: ReadonlyMap<string, string> = new Map();
   private proxies = 1;
   private readonly poolers = new EntriesByService(POOLERS);
-  private readonly leads = new Map<string, ServiceLead>();
+  private readonly leads = new Map<string, PrimaryAssignment>();
   private definitions = new Map<string, ServiceEntry>();
   private readonly dispatchers = new Map<string, ServiceDispatcher>();
   private readonly sessions = new Set<GatewaySession>();
@@ -187,7 +187,7 @@
   }
 
   /** Takes changes of who leads which service. */
-  setLeads(leads: readonly ServiceLead[]): void {
+  setLeads(leads: readonly PrimaryAssignment[]): void {
     for (const lead of leads) {
       this.leads.set(lead.service, lead);
       this.dispatchers.get(lead.service)?.post({kind: 'lead', lead});
--- a/src/services/lease/common/lead_board.ts
+++ b/src/services/lease/common/lead_board.ts
@@ -1,7 +1,7 @@
-import type {ServiceLead} from '../../../schema/generated/fleet';
+import type {PrimaryAssignment} from '../../../schema/generated/fleet';
 
 interface Notice {
-  readonly lead: ServiceLead;
+  readonly lead: PrimaryAssignment;
   readonly revision: number;
 }
 
@@ -16,7 +16,7 @@
   }
 
   /** What changed after a revision. */
-  since(revision: number): ServiceLead[] {
+  since(revision: number): PrimaryAssignment[] {
     if (revision === this.changes) return [];
     return [...this.notices.values()]
       .filter(notice => notice.revision > revision)
@@ -31,12 +31,12 @@
    * by the time it was asked behind the read, and the read was of a log that
    * it had not applied.
    */
-  name(lead: ServiceLead): void {
+  name(lead: PrimaryAssignment): void {
     if (!lead.pending) this.confirm(lead);
   }
 
   /** Takes a lead of the control log whose member was seen to lead. */
-  confirm(lead: ServiceLead): void {
+  confirm(lead: PrimaryAssignment): void {
     const known = this.notices.get(lead.service)?.lead;
     if (!known || lead.epoch > known.epoch) this.put(lead);
   }
@@ -57,7 +57,7 @@
     return this.notices.get(service)?.lead.epoch ?? 0;
   }
 
-  private put(lead: ServiceLead): void {
+  private put(lead: PrimaryAssignment): void {
     this.notices.set(lead.service, {lead, revision: ++this.changes});
   }
 }
--- a/src/services/lease/common/lead_leases.ts
+++ b/src/services/lease/common/lead_leases.ts
@@ -1,5 +1,8 @@
 import type {Clock} from '../../../base/common/clock';
-import type {ReturnLease, ServiceLead} from '../../../schema/generated/fleet';
+import type {
+  ReturnLease,
+  PrimaryAssignment,
+} from '../../../schema/generated/fleet';
 import {TermLease} from './term_lease';
 
 /**
@@ -89,7 +92,7 @@
   }
 
   /** Takes changes of leads; the leases that are to be returned for them. */
-  onLeads(leads: readonly ServiceLead[]): ReturnLease[] {
+  onLeads(leads: readonly PrimaryAssignment[]): ReturnLease[] {
     const returned = leads.filter(lead => !this.take(lead));
     this.settleWaiters();
     return returned.map(({service, epoch}) => ({service, epoch}));
@@ -131,7 +134,7 @@
   }
 
   /** Takes one lead; false where this proxy relies no more on its epoch. */
-  private take({service, instance, epoch}: ServiceLead): boolean {
+  private take({service, instance, epoch}: PrimaryAssignment): boolean {
     const lead = this.leads.get(service) ?? this.track(service);
     const {lease} = lead;
     const isNamed = instance !== '' && epoch >= lease.term;
--- a/src/services/lease/common/lease_registry.ts
+++ b/src/services/lease/common/lease_registry.ts
@@ -1,4 +1,7 @@
-import type {LeaseAsk, ProxyRecord} from '../../../schema/generated/control';
+import type {
+  LeaseRequest,
+  ProxyRecord,
+} from '../../../schema/generated/control';
 import type {Position} from '../../position/common/position';
 import type {ProxyView} from '../../failover/common/failover_view';
 
@@ -41,7 +44,7 @@
   constructor(private readonly limits: ReportLimits) {}
 
   /** Takes in what a proxy says with its question for a lease. */
-  onAsk(proxy: ProxyRecord, ask: LeaseAsk, now: number): void {
+  onAsk(proxy: ProxyRecord, ask: LeaseRequest, now: number): void {
     const state = this.stateOf(proxy);
     state.attached = true;
     state.heardAt = now;
@@ -100,7 +103,7 @@
     return state.attached && now - state.heardAt < DETACHED_MS;
   }
 
-  private reportsOf(ask: LeaseAsk): Map<string, Reported> {
+  private reportsOf(ask: LeaseRequest): Map<string, Reported> {
     const {silenceMs, unconfirmedMs} = this.limits;
     return new Map(
       ask.suspicions.map(suspicion => {
--- a/src/services/lease/test/common/lead_world.ts
+++ b/src/services/lease/test/common/lead_world.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '../../../../base/common/clock';
 import type {SeededRandom} from '../../../../base/common/random';
-import type {ServiceLead} from '../../../../schema/generated/fleet';
+import type {PrimaryAssignment} from '../../../../schema/generated/fleet';
 import {LeadBoard} from '../../common/lead_board';
 import {LeadLeases, RENEW_EVERY_MS} from '../../common/lead_leases';
 import {LeaseHolders} from '../../common/lease_holders';
@@ -60,7 +60,7 @@
   /** Times at which some proxy held a lease. */
   held = 0;
   /** The lead that a majority of the control log holds. */
-  private lead: ServiceLead = makeLead('m0', 1);
+  private lead: PrimaryAssignment = makeLead('m0', 1);
   private leader: Leader;
   private readonly leaders: Leader[] = [];
   private readonly proxies: Proxy[];
--- a/src/services/lease/test/common/lease_fixture.ts
+++ b/src/services/lease/test/common/lease_fixture.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '../../../../base/common/clock';
 import {every} from '../../../../base/node/timers';
-import type {ServiceLead} from '../../../../schema/generated/fleet';
+import type {PrimaryAssignment} from '../../../../schema/generated/fleet';
 import {LeadLeases, RENEW_EVERY_MS} from '../../common/lead_leases';
 
 /** A lead of the service "books". */
@@ -8,7 +8,7 @@
   instance: string,
   epoch: number,
   service = 'books',
-): ServiceLead {
+): PrimaryAssignment {
   return {service, instance, epoch, pending: false};
 }
 
--- a/src/services/promotion/node/promotion_driver.ts
+++ b/src/services/promotion/node/promotion_driver.ts
@@ -1,5 +1,5 @@
 import {pause, settled, startTask, type Task} from '../../../base/node/task';
-import type {Member, ServiceLead} from '../../../schema/generated/fleet';
+import type {Member, PrimaryAssignment} from '../../../schema/generated/fleet';
 import {ClaimedRole} from '../../../schema/generated/fleet';
 import {judgePrimary} from '../common/verdict';
 import {findHeir, orderAll, type HeirFinding} from './heir_search';
@@ -73,7 +73,7 @@
    * earlier leader. The same member is ordered again: nothing was acknowledged
    * since it was chosen but by itself.
    */
-  private *finish(lead: ServiceLead, signal: AbortSignal): Task<void> {
+  private *finish(lead: PrimaryAssignment, signal: AbortSignal): Task<void> {
     const {instance, epoch} = lead;
     if (yield* this.ordering.leads(instance)) {
       this.carriedOut = epoch;
@@ -89,13 +89,15 @@
     else yield* this.replace(lead, 'the heir was lost', signal);
   }
 
-  private *settle({epoch}: ServiceLead): Task<void> {
+  private *settle({epoch}: PrimaryAssignment): Task<void> {
     const {orders} = this.around;
     if (!orders.areFenced && !this.ordering.isSettled) return;
     yield* settled(this.around.settleLead(epoch));
   }
 
-  private *reasonToReplace({instance}: ServiceLead): Task<string | undefined> {
+  private *reasonToReplace({
+    instance,
+  }: PrimaryAssignment): Task<string | undefined> {
     const primary = this.memberOf(instance);
     if (!primary) return this.isWarm ? 'it has left' : undefined;
     const watch = this.around.watchOf(primary);
@@ -121,7 +123,7 @@
   }
 
   /** Proxies may rely again on a primary that was to be replaced and is not. */
-  private *keep({instance}: ServiceLead): Task<void> {
+  private *keep({instance}: PrimaryAssignment): Task<void> {
     if (!(yield* this.ordering.leads(instance))) return;
     const {service, log} = this.around;
     const named = yield* settled(this.around.nameLead(instance, false));
@@ -132,7 +134,7 @@
   }
 
   /** Replicas that were stopped for a change that did not come receive again. */
-  private *resume({instance}: ServiceLead): Task<void> {
+  private *resume({instance}: PrimaryAssignment): Task<void> {
     if (!(yield* this.provesLead())) return;
     const others = this.othersThan(instance);
     const statuses = yield* orderAll(this.around, others, {kind: 'resume'});
@@ -140,7 +142,7 @@
   }
 
   private *replace(
-    lead: ServiceLead,
+    lead: PrimaryAssignment,
     reason: string,
     signal: AbortSignal,
   ): Task<void> {
@@ -180,7 +182,7 @@
     return 'value' in done && done.value;
   }
 
-  private hasSuccessor({instance}: ServiceLead): boolean {
+  private hasSuccessor({instance}: PrimaryAssignment): boolean {
     return this.othersThan(instance).some(member => {
       return this.around.watchOf(member).silentMs < PRESENT_MS;
     });
@@ -188,7 +190,7 @@
 
   /** Waits until nobody can rely on the old lead; false where it may not. */
   private *mayOrder(
-    lead: ServiceLead,
+    lead: PrimaryAssignment,
     found: HeirFinding & {kind: 'heir'},
     fields: Record<string, string>,
     signal: AbortSignal,
--- a/src/services/promotion/node/promotion_surroundings.ts
+++ b/src/services/promotion/node/promotion_surroundings.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '../../../base/common/clock';
 import type {Result} from '../../../base/common/outcome';
 import type {Log} from '../../../base/node/log';
-import type {Member, ServiceLead} from '../../../schema/generated/fleet';
+import type {Member, PrimaryAssignment} from '../../../schema/generated/fleet';
 import type {MemberWatch} from './member_watch';
 import type {PromotionAuthority} from './promotion_authority';
 
@@ -34,7 +34,7 @@
   /** The member that says it leads, by its announcement. */
   claimant(): Member | undefined;
   /** Who leads by the control log. */
-  lead(): ServiceLead | undefined;
+  lead(): PrimaryAssignment | undefined;
   watchOf(member: Member): MemberWatch;
   complaintsOf(instance: string): Complaints;
   /** Tells proxies to rely on nobody. */
--- a/src/services/promotion/test/node/promotion_driver.test.ts
+++ b/src/services/promotion/test/node/promotion_driver.test.ts
@@ -2,7 +2,10 @@
 import {ok} from '../../../../base/common/outcome';
 import {MonotonicClock} from '../../../../base/node/monotonic_clock';
 import {ownController} from '../../../../base/node/timers';
-import type {Member, ServiceLead} from '../../../../schema/generated/fleet';
+import type {
+  Member,
+  PrimaryAssignment,
+} from '../../../../schema/generated/fleet';
 import {makeLog} from '../../../gateway/test/node/session_fixture';
 import {MemberWatch} from '../../node/member_watch';
 import {PromotionDriver} from '../../node/promotion_driver';
@@ -14,7 +17,7 @@
   readonly stop = ownController();
   readonly clock = new MonotonicClock();
   readonly logged = makeLog();
-  lead: ServiceLead = {
+  lead: PrimaryAssignment = {
     service: 'books',
     instance: 'a',
     epoch: 1,
