--- a/bench/relay_cost.ts
+++ b/bench/relay_cost.ts
@@ -3,7 +3,7 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 import pg from 'pg';
 import {serialize} from 'pg-protocol';
-import {FrameSplitter, typeOf} from '../src/services/wire/common/frames';
+import {FrameDecoder, typeByteOf} from '../src/services/wire/common/frames';
 import {cpuTimeOf} from './fleet/cpu_time';
 import {Fleet, type ProxyProcess, isListening, until} from './fleet/fleet';
 import {freePorts} from './fleet/ports';
@@ -12,7 +12,7 @@
 const CONNECTIONS = 32;
 const ROUND_MS = 2_500;
 const ROUNDS = 3;
-const READY = typeOf('Z');
+const READY = typeByteOf('Z');
 const QUERY = "SELECT state FROM filings WHERE id = 'f1'";
 
 /** One way to the stand-in. */
@@ -96,7 +96,7 @@
 function ask({port, latency}: Way, end: number): Promise<number> {
   return new Promise(resolve => {
     const socket = createConnection(port, '127.0.0.1');
-    const splitter = new FrameSplitter(1_000_000);
+    const splitter = new FrameDecoder(1_000_000);
     const query = serialize.query(QUERY);
     let count = -1;
     let sentAt = 0;
--- a/src/control/node/control_log.ts
+++ b/src/control/node/control_log.ts
@@ -1,5 +1,5 @@
 import type {Result} from '../../base/common/outcome';
-import type {Refusal} from '../../services/consensus/common/consensus_types';
+import type {RefusalReason} from '../../services/consensus/common/consensus_types';
 import type {ConsensusNode} from '../../services/consensus/node/consensus_node';
 import {Command} from '../../schema/generated/control';
 
@@ -12,7 +12,7 @@
   constructor(private readonly node: ConsensusNode) {}
 
   /** Puts a command in; the index once it is committed. */
-  propose(body: Body): Promise<Result<number, Refusal>> {
+  propose(body: Body): Promise<Result<number, RefusalReason>> {
     const command = {wallTimeMs: Date.now(), body};
     const bytes = Command.encode(command).finish();
     return this.node.propose(Buffer.from(bytes));
--- a/src/control/node/failover_driver.ts
+++ b/src/control/node/failover_driver.ts
@@ -3,7 +3,7 @@
 import type {Log} from '../../base/node/log';
 import {
   isConnected,
-  silenceOf,
+  silenceMsOf,
   type TargetDirectory,
   type TargetObservation,
 } from '../../services/announcement/common/target_directory';
@@ -98,10 +98,10 @@
     const drift = 1 + system.clockDriftPercent / 100;
     return {
       record,
-      members: settings.members,
-      confirmations: settings.confirmations,
-      silenceMs: system.silenceMs,
-      leaseBoundMs: system.leaseMs * drift,
+      memberCount: settings.members,
+      requiredConfirmations: settings.confirmations,
+      maxSilenceMs: system.silenceMs,
+      maxLeaseMs: system.leaseMs * drift,
       now,
       leaderSince: this.leaderSince,
       phaseAgeMs: now - this.phaseSeenAt(record, now),
@@ -109,7 +109,7 @@
       proxies: machine.state.proxies.map(proxy => {
         return leases.viewOf(proxy, record.name, now);
       }),
-      forced: this.forcedTerms.get(record.name) === record.term,
+      isForced: this.forcedTerms.get(record.name) === record.term,
     };
   }
 
@@ -234,7 +234,7 @@
       service: serviceName(record.name),
       instance: instanceId(instance),
     };
-    observer.order(key, {orderId: ++this.lastOrderId, action});
+    observer.sendOrder(key, {orderId: ++this.lastOrderId, action});
   }
 }
 
@@ -260,7 +260,7 @@
     draining,
     firstIncarnation,
     connected: isConnected(target, now),
-    silentMs: silenceOf(target, now),
+    silentMs: silenceMsOf(target, now),
     status,
     upstreamLostMs: upstreamLostAt === undefined ? 0 : now - upstreamLostAt,
   };
--- a/src/control/node/leadership.ts
+++ b/src/control/node/leadership.ts
@@ -65,14 +65,14 @@
 
   /** Looks at everything again; called on a timer and on news. */
   drive(): void {
-    if (!this.around.node.core.leaderReady) return;
+    if (!this.around.node.core.isLeaderReady) return;
     this.driver.drive();
     this.attachments.pushChanges();
   }
 
   /** Work that may wait a little longer. */
   tend(): void {
-    if (!this.around.node.core.leaderReady) return;
+    if (!this.around.node.core.isLeaderReady) return;
     // Targets that announced themselves before this instance led.
     for (const {status} of this.around.directory.all()) this.onTarget(status);
     this.tendMembership();
@@ -119,14 +119,16 @@
   private tendMembership(): void {
     const {node, settings} = this.around;
     const {core} = node;
-    if (this.changingMembers || !core.configurationCommitted) return;
+    if (this.changingMembers || !core.isConfigurationCommitted) return;
     // An instance that still wants in asks again. Keeping the word of one
     // that is gone would take its lost folder back in for the new one.
     const joiners = [...this.joiners.values()];
     this.joiners.clear();
     const next = planMembership({
       configuration: core.configuration,
-      allowed: new Set(settings().control.map(({instance}) => instance)),
+      allowedInstances: new Set(
+        settings().control.map(({instance}) => instance),
+      ),
       joiners,
       commitIndex: core.commitIndex,
       matchIndexOf: id => core.matchIndexOf(id),
@@ -141,7 +143,7 @@
   private forgetProxies(): void {
     const now = this.around.clock.now();
     for (const proxy of this.around.machine.state.proxies) {
-      const seen = Math.max(this.leases.heardAt(proxy), this.since);
+      const seen = Math.max(this.leases.lastHeardAt(proxy), this.since);
       if (now - seen < FORGET_PROXY_MS) continue;
       this.leases.forget(proxy);
       this.log.proposeOnce(forgetPurpose(proxy), {
--- a/src/control/node/main.ts
+++ b/src/control/node/main.ts
@@ -18,14 +18,14 @@
 import {AnnouncementObserver} from '../../services/announcement/node/announcement_observer';
 import {Consensus} from '../../services/consensus/common/consensus';
 import {
-  bootstrapState,
+  singlePeerState,
   emptyState,
 } from '../../services/consensus/common/initial_state';
 import {ConsensusNode} from '../../services/consensus/node/consensus_node';
-import {keepJoining} from '../../services/consensus/node/joining';
+import {requestJoinUntilVoter} from '../../services/consensus/node/join_requests';
 import {LogStorage} from '../../services/consensus/node/log_storage';
 import {
-  formatFault,
+  formatSettingsError,
   type Settings,
 } from '../../services/settings/common/settings';
 import {loadSettings} from '../../services/settings/node/settings_files';
@@ -67,7 +67,7 @@
   const clock = new MonotonicClock();
   const {core, storage} = await openCore(args, own, self.address);
   const stateMachine = new ControlStateMachine();
-  stateMachine.restore(core.appliedSnapshot.state);
+  stateMachine.restore(core.baseSnapshot.state);
   const {machine} = stateMachine;
 
   let leadership: Leadership | undefined;
@@ -116,7 +116,7 @@
     machine,
     node,
     settings,
-    leadership: () => (core.leaderReady ? leadership : undefined),
+    leadership: () => (core.isLeaderReady ? leadership : undefined),
     leaderAddress: () => addressOf(core),
     now: () => clock.now(),
   });
@@ -137,14 +137,16 @@
   const others = own.control.filter(other => other !== self);
   const addresses = others.map(({address}) => address);
   const settled = () => isSettled(core, self.address);
-  keepJoining(joiner, addresses, settled, transport, signal);
+  requestJoinUntilVoter(joiner, addresses, settled, transport, signal);
   log.info('Ready.', {id: core.id, address: self.address});
   await node.start(signal);
 }
 
 function checkedSettings(file: string): Settings {
   const settings = loadSettings(file, '');
-  if (settings.isErr) fail(EXIT_SETTINGS, settings.error.map(formatFault));
+  if (settings.isErr) {
+    fail(EXIT_SETTINGS, settings.error.map(formatSettingsError));
+  }
   return settings.value;
 }
 
@@ -160,7 +162,7 @@
   // told to: two that did so by themselves would be two systems.
   const starts = args.bootstrap || own.control.length === 1;
   if (!persisted && starts) {
-    persisted = bootstrapState({id, address, voter: true});
+    persisted = singlePeerState({id, address, voter: true});
     const {snapshot} = persisted;
     const installed = await storage.install(snapshot, []);
     if (installed.isErr) fail(EXIT_IO_ERROR, [installed.error.detail]);
@@ -193,7 +195,7 @@
   return {
     deliver(call, respond) {
       transport.learn(call.request);
-      node.deliver(call.request);
+      node.receive(call.request);
       respond(null, {});
     },
     join(call, respond) {
--- a/src/control/node/operator_service.ts
+++ b/src/control/node/operator_service.ts
@@ -108,7 +108,7 @@
   private async status(respond: Respond<StatusReply>): Promise<void> {
     const {node, machine, instance} = this.around;
     const {core} = node;
-    const confirmed = await node.confirm();
+    const confirmed = await node.confirmLeadership();
     const leadership = this.around.leadership();
     const now = this.around.now();
     respond(null, {
--- a/src/control/node/peer_transport.ts
+++ b/src/control/node/peer_transport.ts
@@ -1,7 +1,7 @@
 import {Metadata} from '@grpc/grpc-js';
 import {deadlineIn, LINK_CREDENTIALS, LINK_OPTIONS} from '../../base/node/grpc';
 import type {ConsensusTransport} from '../../services/consensus/node/consensus_node';
-import type {JoinCalls} from '../../services/consensus/node/joining';
+import type {JoinTransport} from '../../services/consensus/node/join_requests';
 import {PeerAddresses} from '../../services/consensus/node/peer_addresses';
 import type {
   Configuration,
@@ -23,7 +23,7 @@
 }
 
 /** Carries consensus messages to peers over gRPC; late ones are given up. */
-export class PeerTransport implements ConsensusTransport, JoinCalls {
+export class PeerTransport implements ConsensusTransport, JoinTransport {
   private readonly links = new Map<string, Link>();
   private readonly addresses = new PeerAddresses();
 
--- a/src/control/node/proxy_attachments.ts
+++ b/src/control/node/proxy_attachments.ts
@@ -76,14 +76,14 @@
     const attachment = this.open.get(proxyName(proxy));
     if (!attachment) return;
     const {leases, clock, node} = this.around;
-    leases.onAsk(proxy, ask, clock.now());
+    leases.onRequest(proxy, ask, clock.now());
     this.around.onDidHear();
-    const confirmed = await node.confirm();
+    const confirmed = await node.confirmLeadership();
     if (confirmed.isErr || this.open.get(proxyName(proxy)) !== attachment) {
       return;
     }
     if (!this.mayHoldLease(proxy)) return;
-    leases.onGrant(proxy, clock.now());
+    leases.onGranted(proxy, clock.now());
     this.send(attachment, ask.sequence);
   }
 
--- a/src/control/node/settings_in_force.ts
+++ b/src/control/node/settings_in_force.ts
@@ -1,6 +1,6 @@
 import type {ControlMachine} from '../../services/control_state/common/control_machine';
 import {
-  formatFault,
+  formatSettingsError,
   parseSettings,
   type Settings,
 } from '../../services/settings/common/settings';
@@ -29,7 +29,7 @@
   /** What is wrong with a text that an operator wants in force, or ''. */
   faultsOf(text: string): string {
     const parsed = parseSettings({file: 'settings', text});
-    if (parsed.isErr) return parsed.error.map(formatFault).join('\n');
+    if (parsed.isErr) return parsed.error.map(formatSettingsError).join('\n');
     // Leases that are out were given by the old times: a leader that went by
     // shorter ones would not wait them out.
     const same =
--- a/src/control/test/node/joining.test.ts
+++ b/src/control/test/node/join_requests.test.ts
@@ -8,9 +8,9 @@
   type ConsensusServer,
 } from '../../../schema/generated/consensus_service';
 import {
-  keepJoining,
-  type JoinCalls,
-} from '../../../services/consensus/node/joining';
+  requestJoinUntilVoter,
+  type JoinTransport,
+} from '../../../services/consensus/node/join_requests';
 import {PeerLinks} from '../../../services/consensus/node/peer_links';
 import {makeLog} from '../../../services/gateway/test/node/session_fixture';
 import {PeerTransport} from '../../node/peer_transport';
@@ -20,7 +20,7 @@
 /** One way for control instances to talk to each other. */
 interface Exchange {
   readonly kind: string;
-  calls(signal: AbortSignal): JoinCalls;
+  calls(signal: AbortSignal): JoinTransport;
   /** Starts an instance that answers; its port. */
   serve(
     answer: (request: JoinRequest) => JoinReply,
@@ -50,7 +50,7 @@
       const server = new MessageServer(log);
       new PeerLinks('127.0.0.1:2', log, signal).serve(server, {
         onDidReceive: () => {},
-        onDidAskToJoin: answer,
+        onDidRequestJoin: answer,
       });
       return (await server.listen('127.0.0.1:0', signal)).unwrapOr(0);
     },
@@ -81,7 +81,13 @@
     const leader = await startInstance('');
     const listed = await startInstance(leader.address);
     const calls = exchange.calls(stop.signal);
-    keepJoining(SELF, [listed.address], () => false, calls, stop.signal);
+    requestJoinUntilVoter(
+      SELF,
+      [listed.address],
+      () => false,
+      calls,
+      stop.signal,
+    );
     for (let looks = 0; looks < 200 && leader.asked.length === 0; looks++) {
       await new Promise(resolve => setTimeout(resolve, 10));
     }
--- a/src/ctl/node/main.ts
+++ b/src/ctl/node/main.ts
@@ -18,7 +18,7 @@
 } from '../../base/node/program';
 import {toError} from '../../base/node/task';
 import {
-  formatFault,
+  formatSettingsError,
   parseSettings,
 } from '../../services/settings/common/settings';
 import type {
@@ -95,7 +95,9 @@
   async handler(args) {
     const text = readFileSync(args.file, 'utf8');
     const parsed = parseSettings({file: args.file, text});
-    if (parsed.isErr) fail(EXIT_SETTINGS, parsed.error.map(formatFault));
+    if (parsed.isErr) {
+      fail(EXIT_SETTINGS, parsed.error.map(formatSettingsError));
+    }
     const baseVersion =
       args.baseVersion === VERSION_IN_FORCE
         ? await versionInForce(args.control)
--- a/src/load/node/load_client.ts
+++ b/src/load/node/load_client.ts
@@ -6,13 +6,17 @@
   type TargetLogin,
 } from '../../services/pool/node/target_connection';
 import {decodeDiagnostic} from '../../services/wire/common/backend';
-import {bodyOf, typeOf, type Frame} from '../../services/wire/common/frames';
-import {BodyReader} from '../../services/wire/common/reader';
+import {
+  bodyOf,
+  typeByteOf,
+  type Frame,
+} from '../../services/wire/common/frames';
+import {BodyReader} from '../../services/wire/common/body_reader';
 import {serialize} from 'pg-protocol';
 
-const DATA_ROW = typeOf('D');
-const ERROR = typeOf('E');
-const READY = typeOf('Z');
+const DATA_ROW = typeByteOf('D');
+const ERROR = typeByteOf('E');
+const READY = typeByteOf('Z');
 
 /** How a statement ended for a caller. */
 export interface StatementEnd {
@@ -28,7 +32,7 @@
   private resolve: ((end: StatementEnd) => void) | undefined;
 
   private constructor(private readonly connection: TargetConnection) {
-    connection.listen(this);
+    connection.setListener(this);
   }
 
   static async open(
@@ -59,7 +63,7 @@
     this.connection.destroy();
   }
 
-  onFrames(frames: readonly Frame[]): void {
+  onDidReceive(frames: readonly Frame[]): void {
     for (const frame of frames) {
       if (frame.type === ERROR) {
         this.code = decodeDiagnostic(bodyOf(frame)).code;
@@ -69,7 +73,7 @@
     }
   }
 
-  onClosed(): void {
+  onDidClose(): void {
     this.finish('lost');
   }
 
--- a/src/proxy/common/batch.ts
+++ b/src/proxy/common/batch.ts
@@ -76,7 +76,7 @@
     const {name, text, rest} = message;
     named.set(name, {text, rest: Buffer.from(rest)});
   }
-  if (message.kind === 'close' && message.of === 'statement') {
+  if (message.kind === 'close' && message.objectKind === 'statement') {
     named.delete(message.name);
   }
 }
@@ -153,7 +153,7 @@
     message: Extract<FrontendMessage, {kind: 'describe' | 'close'}>,
     frame: Frame,
   ): void {
-    if (message.of === 'portal') {
+    if (message.objectKind === 'portal') {
       this.parts.push(frame.bytes);
       return;
     }
@@ -213,7 +213,7 @@
   statements: readonly StatementClass[],
 ): string | undefined {
   for (const statement of statements) {
-    if (statement.kind === 'unsupported') return statement.what;
+    if (statement.kind === 'unsupported') return statement.feature;
   }
   const isMixed = statements.length > 1 && hasInnerCommit(statements);
   return isMixed ? 'COMMIT or ROLLBACK before the end of a batch' : undefined;
--- a/src/proxy/node/batch_runner.ts
+++ b/src/proxy/node/batch_runner.ts
@@ -4,8 +4,8 @@
 import {
   encodeError,
   encodeNotice,
-  encodeParameter,
-  encodeReady,
+  encodeParameterStatus,
+  encodeReadyForQuery,
   type Diagnostic,
 } from '../../services/wire/common/backend';
 import {BatchEncoder, type BatchMessage, type BatchPlan} from '../common/batch';
@@ -35,7 +35,7 @@
 
   constructor(private readonly context: SessionContext) {
     // What runs for a caller that is gone would hold a place for nobody.
-    const {closed} = context.connection;
+    const {closedSignal: closed} = context.connection;
     const stop = () => this.running?.connection.destroy();
     closed.addEventListener('abort', stop, {once: true});
   }
@@ -100,7 +100,10 @@
       this.context.connection,
       'hold the end',
     );
-    const encoder = new BatchEncoder(this.context.named, connection.prepared);
+    const encoder = new BatchEncoder(
+      this.context.named,
+      connection.preparedStatements,
+    );
     this.partial.send(encoder.encode(messages), false);
     return undefined;
   }
@@ -139,15 +142,15 @@
       return true;
     }
     const {grant} = place;
-    this.context.state.see(grant.required);
+    this.context.state.recordPosition(grant.required);
     // What the session sets is for itself: the connection is cleaned after it.
     const sets = plan.statements.some(({kind}) => kind === 'set');
-    if (sets) place.connection.dirty = true;
-    const before = place.connection.prepared.size;
+    if (sets) place.connection.isDirty = true;
+    const before = place.connection.preparedStatements.size;
     const end = yield* this.exchange(place, messages, plan, deadline);
-    if (end.error && place.connection.prepared.size !== before) {
+    if (end.error && place.connection.preparedStatements.size !== before) {
       // A Parse may have failed: the names are not to be relied on.
-      place.connection.dirty = true;
+      place.connection.isDirty = true;
     }
     if (end.status === undefined) {
       yield* place.release(false);
@@ -211,7 +214,10 @@
       );
     this.partial = undefined;
     this.warnIfOlder(place);
-    const encoder = new BatchEncoder(this.context.named, connection.prepared);
+    const encoder = new BatchEncoder(
+      this.context.named,
+      connection.preparedStatements,
+    );
     exchange.send(encoder.encode(messages), true);
     const timer = setTimeout(() => {
       // Accepts but never answers: what it holds is given up, so that the
@@ -219,7 +225,7 @@
       if (!exchange.hasAnswer) connection.destroy();
     }, this.patience(deadline));
     this.running = place;
-    if (this.context.connection.closed.aborted) connection.destroy();
+    if (this.context.connection.closedSignal.aborted) connection.destroy();
     const end = yield* exchange.wait();
     this.running = undefined;
     clearTimeout(timer);
@@ -257,7 +263,7 @@
     if (!isOpen) yield* place.release(true);
     if (end.complete) return;
     if (!end.position) {
-      connection.send(Buffer.concat([end.held, encodeReady(status)]));
+      connection.send(Buffer.concat([end.held, encodeReadyForQuery(status)]));
       return;
     }
     const {outcome, position} = yield* acknowledge(
@@ -267,14 +273,19 @@
     );
     if (outcome === 'unknown') return this.refuse(unknownError());
     if (outcome === 'not run') return this.refuse(lostError());
-    state.see(position);
-    const shown = encodeParameter(POSITION_VARIABLE, formatPosition(position));
-    connection.send(Buffer.concat([end.held, shown, encodeReady(status)]));
+    state.recordPosition(position);
+    const shown = encodeParameterStatus(
+      POSITION_VARIABLE,
+      formatPosition(position),
+    );
+    connection.send(
+      Buffer.concat([end.held, shown, encodeReadyForQuery(status)]),
+    );
   }
 
   private refuse(diagnostic: Diagnostic): void {
     this.failed = true;
-    const ready = encodeReady('idle');
+    const ready = encodeReadyForQuery('idle');
     const error = encodeError(diagnostic);
     this.context.connection.send(Buffer.concat([error, ready]));
   }
--- a/src/proxy/node/caller_server.ts
+++ b/src/proxy/node/caller_server.ts
@@ -14,9 +14,9 @@
 import {
   AUTHENTICATION_OK,
   encodeError,
-  encodeKeyData,
-  encodeParameter,
-  encodeReady,
+  encodeBackendKeyData,
+  encodeParameterStatus,
+  encodeReadyForQuery,
   type Diagnostic,
 } from '../../services/wire/common/backend';
 import {FrameConnection} from '../../services/wire/node/frame_connection';
@@ -130,7 +130,7 @@
   private *serve(connection: FrameConnection): Task<void> {
     for (;;) {
       const incoming = yield* connection.receive();
-      if (incoming?.kind === 'fault') {
+      if (incoming?.kind === 'error') {
         return this.refuse(connection, PROTOCOL_VIOLATION, incoming.reason);
       }
       if (incoming?.kind !== 'startup') return connection.destroy();
@@ -144,7 +144,7 @@
         case 'cancel':
           this.cancel(packet.processId, packet.key);
           return connection.end();
-        case 'broken':
+        case 'invalid':
           return this.refuse(connection, PROTOCOL_VIOLATION, packet.reason);
       }
     }
@@ -217,8 +217,8 @@
     const classes = new Set(this.around.settings().classes.keys());
     const options = parseStartupOptions(parameters.get('options') ?? '');
     for (const [name, value] of [...parameters, ...options]) {
-      if (!SessionState.isOwn(name)) continue;
-      const fault = state.setOwn(name, value, classes);
+      if (!SessionState.isProxyVariable(name)) continue;
+      const fault = state.setProxyVariable(name, value, classes);
       if (fault) return fatal(INVALID_PARAMETER, fault.message);
     }
     return undefined;
@@ -232,9 +232,11 @@
     connection.send(
       Buffer.concat([
         AUTHENTICATION_OK,
-        ...PARAMETERS.map(([name, value]) => encodeParameter(name, value)),
-        encodeKeyData(processId, secret),
-        encodeReady('idle'),
+        ...PARAMETERS.map(([name, value]) =>
+          encodeParameterStatus(name, value),
+        ),
+        encodeBackendKeyData(processId, secret),
+        encodeReadyForQuery('idle'),
       ]),
     );
   }
--- a/src/proxy/node/caller_session.ts
+++ b/src/proxy/node/caller_session.ts
@@ -3,14 +3,14 @@
 import type {StatementClass} from '../../services/sql/common/classifier';
 import {
   encodeError,
-  encodeReady,
+  encodeReadyForQuery,
   type Diagnostic,
 } from '../../services/wire/common/backend';
 import type {Frame} from '../../services/wire/common/frames';
 import {decodeFrontend} from '../../services/wire/common/frontend';
 import type {
   ConnectionEvent,
-  Incoming,
+  ConnectionInput,
 } from '../../services/wire/node/frame_connection';
 import {noteNames, planBatch, type BatchMessage} from '../common/batch';
 import {
@@ -70,7 +70,7 @@
       const goesOn = yield* this.handle(incoming);
       this.busy = false;
       if (!goesOn || this.shouldStop()) break;
-      yield* connection.drained();
+      yield* connection.waitForDrain();
     }
     yield* this.runner.abandon();
     if (this.stopping) {
@@ -86,13 +86,13 @@
     return this.stopping && idle;
   }
 
-  private *handle(incoming: Incoming): Task<boolean> {
+  private *handle(incoming: ConnectionInput): Task<boolean> {
     switch (incoming.kind) {
       case 'frame':
         return yield* this.onFrame(incoming.frame);
       case 'event':
         return yield* this.onEvent(incoming.event);
-      case 'fault':
+      case 'error':
         return this.endWith(fatal(PROTOCOL_VIOLATION, incoming.reason));
       default:
         return this.endWith(fatal(PROTOCOL_VIOLATION, 'second startup'));
@@ -151,12 +151,12 @@
     if (skipped) {
       // The error went out when it was found; the batch ends here.
       const status = this.runner.inTransaction ? 'open' : 'idle';
-      this.context.connection.send(encodeReady(status));
+      this.context.connection.send(encodeReadyForQuery(status));
       return;
     }
     const isEmpty = messages.length === 1 && !this.runner.isPartial;
     if (isEmpty && !this.runner.inTransaction) {
-      this.context.connection.send(encodeReady('idle'));
+      this.context.connection.send(encodeReadyForQuery('idle'));
       return;
     }
     yield* this.runBatch(messages);
@@ -228,14 +228,14 @@
     isRead: boolean,
     statements: readonly StatementClass[],
   ): boolean {
-    if (!this.context.state.key || isRead) return false;
+    if (!this.context.state.writeKey || isRead) return false;
     return statements.every(({kind}) => kind === 'write');
   }
 
   private *runKeyed(messages: readonly BatchMessage[]): Task<void> {
     const {state} = this.context;
-    const key = state.key!;
-    state.key = undefined;
+    const key = state.writeKey!;
+    state.writeKey = undefined;
     yield* new KeyedWrite(this.context, key, messages).run();
   }
 
@@ -250,7 +250,7 @@
     if (!this.isAtStart()) return 'SET inside a transaction (SET LOCAL is)';
     if (statements.length > 2) return 'SET beside other statements';
     const {state} = this.context;
-    return state.hasRoomFor(setting.name) ? undefined : 'one more SET';
+    return state.canSaveSetting(setting.name) ? undefined : 'one more SET';
   }
 
   /** Keeps a SET for the session's later places. */
@@ -264,12 +264,12 @@
       .map(({message}) => ('text' in message ? message.text : ''))
       .join('');
     const kept = statement.value === undefined ? undefined : text;
-    this.context.state.remember(statement.name, kept);
+    this.context.state.saveSetting(statement.name, kept);
   }
 
   private refuse(diagnostic: Diagnostic): void {
     const status = this.runner.inTransaction ? 'open' : 'idle';
-    const parts = [encodeError(diagnostic), encodeReady(status)];
+    const parts = [encodeError(diagnostic), encodeReadyForQuery(status)];
     this.context.connection.send(Buffer.concat(parts));
   }
 
@@ -277,7 +277,7 @@
     if (!this.runner.inTransaction) return;
     const {connection, router} = this.context;
     this.stopIdleTimer = after(
-      connection.closed,
+      connection.closedSignal,
       this.idleTransactionMs(),
       () => {
         if (router.queued > 0) connection.notify('idle too long');
--- a/src/proxy/node/dispatch_view.ts
+++ b/src/proxy/node/dispatch_view.ts
@@ -1,27 +1,27 @@
-import type {Lineage} from '../../services/position/common/lineage';
-import type {Candidate} from '../../services/routing/common/router';
+import type {TermHistory} from '../../services/position/common/term_history';
+import type {ReadCandidate} from '../../services/routing/common/route_read';
 import type {ServiceRecord} from '../../schema/generated/control';
 import type {ServiceTargets} from './service_targets';
 
 /** The candidates of one dispatch, made once for all requests that wait. */
 export class DispatchView {
-  private allKnown: Candidate[] | undefined;
-  private primaryKnown: Candidate[] | undefined;
+  private allKnown: ReadCandidate[] | undefined;
+  private primaryKnown: ReadCandidate[] | undefined;
 
   constructor(
     private readonly targets: ServiceTargets,
     private readonly record: ServiceRecord,
-    private readonly lineage: Lineage,
+    private readonly lineage: TermHistory,
     private readonly primaryUsable: boolean,
   ) {}
 
-  get all(): readonly Candidate[] {
+  get all(): readonly ReadCandidate[] {
     const {targets, record, lineage, primaryUsable} = this;
     this.allKnown ??= targets.candidates(record, lineage, primaryUsable);
     return this.allKnown;
   }
 
-  get primary(): readonly Candidate[] {
+  get primary(): readonly ReadCandidate[] {
     const {targets, record, primaryUsable} = this;
     this.primaryKnown ??= targets.primaryCandidate(record, primaryUsable);
     return this.primaryKnown;
--- a/src/proxy/node/exchange.ts
+++ b/src/proxy/node/exchange.ts
@@ -8,23 +8,27 @@
   type Position,
 } from '../../services/position/common/position';
 import {
-  decodeComplete,
+  decodeCommandComplete,
   decodeDiagnostic,
-  decodeParameter,
-  decodeReady,
+  decodeParameterStatus,
+  decodeReadyForQuery,
   type Diagnostic,
   type TransactionStatus,
 } from '../../services/wire/common/backend';
-import {bodyOf, typeOf, type Frame} from '../../services/wire/common/frames';
+import {
+  bodyOf,
+  typeByteOf,
+  type Frame,
+} from '../../services/wire/common/frames';
 import type {OutgoingBatch} from '../common/batch';
 
-const COMPLETE = typeOf('C');
-const CLOSE_COMPLETE = typeOf('3');
-const ERROR = typeOf('E');
-const PARAMETER = typeOf('S');
-const PARSE_COMPLETE = typeOf('1');
-const READY = typeOf('Z');
-const DATA_ROW = typeOf('D');
+const COMPLETE = typeByteOf('C');
+const CLOSE_COMPLETE = typeByteOf('3');
+const ERROR = typeByteOf('E');
+const PARAMETER = typeByteOf('S');
+const PARSE_COMPLETE = typeByteOf('1');
+const READY = typeByteOf('Z');
+const DATA_ROW = typeByteOf('D');
 
 /** Where the answer of a target goes. */
 export interface AnswerSink {
@@ -76,8 +80,8 @@
     private readonly sink: AnswerSink,
     private readonly mode: RelayMode,
   ) {
-    connection.listen(this);
-    if (connection.isClosed) this.onClosed();
+    connection.setListener(this);
+    if (connection.isClosed) this.onDidClose();
   }
 
   /** Waits for the end. */
@@ -98,7 +102,7 @@
     this.connection.send(outgoing.bytes);
   }
 
-  onFrames(frames: readonly Frame[]): void {
+  onDidReceive(frames: readonly Frame[]): void {
     this.answered = true;
     const out = new FrameRun();
     for (const frame of frames) {
@@ -113,7 +117,7 @@
     this.pass(out);
   }
 
-  onClosed(): void {
+  onDidClose(): void {
     this.finish(undefined);
   }
 
@@ -140,7 +144,8 @@
 
   private onComplete(frame: Frame, out: FrameRun): void {
     this.flushHeld(out);
-    const ends = this.synced || decodeComplete(bodyOf(frame)) === 'COMMIT';
+    const ends =
+      this.synced || decodeCommandComplete(bodyOf(frame)) === 'COMMIT';
     if (this.mode === 'hold the end' && ends) {
       this.held.push(Buffer.from(frame.bytes));
     } else {
@@ -159,7 +164,7 @@
   }
 
   private onParameter(frame: Frame, out: FrameRun): void {
-    const [name, value] = decodeParameter(bodyOf(frame));
+    const [name, value] = decodeParameterStatus(bodyOf(frame));
     if (name === 'group_position') this.position = parsePosition(value);
     else if (!name.startsWith('group_')) out.add(frame.bytes);
   }
@@ -170,14 +175,14 @@
     const complete = this.mode === 'through' && this.position === undefined;
     if (complete) out.add(frame.bytes);
     this.pass(out);
-    this.finish(decodeReady(bodyOf(frame)), complete);
+    this.finish(decodeReadyForQuery(bodyOf(frame)), complete);
   }
 
   private finish(
     status: TransactionStatus | undefined,
     complete = false,
   ): void {
-    this.connection.listen(undefined);
+    this.connection.setListener(undefined);
     const {position, error, relayed, held} = this;
     this.ended.give({
       status,
--- a/src/proxy/node/keyed_write.ts
+++ b/src/proxy/node/keyed_write.ts
@@ -5,8 +5,8 @@
 import {POSITION_VARIABLE} from '../../services/session/common/session_state';
 import {
   encodeError,
-  encodeParameter,
-  encodeReady,
+  encodeParameterStatus,
+  encodeReadyForQuery,
   type Diagnostic,
 } from '../../services/wire/common/backend';
 import {BatchEncoder, type BatchMessage} from '../common/batch';
@@ -75,7 +75,7 @@
 
   private *attempt(place: Place, deadline: number): Task<Attempt> {
     const patience = Math.max(0, deadline - this.context.clock.now());
-    const gone = this.context.connection.closed;
+    const gone = this.context.connection.closedSignal;
     // A target that never answers must not hold the caller past its deadline.
     const stopTimer = after(gone, patience, () => place.connection.destroy());
     const prepared = yield* place.prepare();
@@ -167,7 +167,7 @@
       deadline,
     );
     if (outcome !== 'done') return {kind: 'try again'};
-    this.context.state.see(at);
+    this.context.state.recordPosition(at);
     return {kind: 'answered', bytes};
   }
 
@@ -180,7 +180,10 @@
   private *runBatch(place: Place, sink: AnswerSink): Task<ExchangeEnd> {
     const {connection} = place;
     const exchange = new Exchange(connection, sink, 'without ready');
-    const encoder = new BatchEncoder(this.context.named, connection.prepared);
+    const encoder = new BatchEncoder(
+      this.context.named,
+      connection.preparedStatements,
+    );
     exchange.send(encoder.encode(this.messages), true);
     const end = yield* exchange.wait();
     return end;
@@ -188,14 +191,16 @@
 
   private answer(bytes: Buffer): void {
     const {connection, state} = this.context;
-    const position = formatPosition(state.required!);
-    const shown = encodeParameter(POSITION_VARIABLE, position);
-    connection.send(Buffer.concat([bytes, shown, encodeReady('idle')]));
+    const position = formatPosition(state.requiredPosition!);
+    const shown = encodeParameterStatus(POSITION_VARIABLE, position);
+    connection.send(Buffer.concat([bytes, shown, encodeReadyForQuery('idle')]));
   }
 
   private fail(diagnostic: Diagnostic): void {
     const error = encodeError(diagnostic);
-    this.context.connection.send(Buffer.concat([error, encodeReady('idle')]));
+    this.context.connection.send(
+      Buffer.concat([error, encodeReadyForQuery('idle')]),
+    );
   }
 }
 
--- a/src/proxy/node/local_statement.ts
+++ b/src/proxy/node/local_statement.ts
@@ -4,11 +4,11 @@
 import {
   BIND_COMPLETE,
   CLOSE_COMPLETE,
-  encodeComplete,
+  encodeCommandComplete,
   encodeError,
   encodeParameterDescription,
-  encodeReady,
-  encodeRow,
+  encodeReadyForQuery,
+  encodeDataRow,
   encodeRowDescription,
   NO_DATA,
   PARSE_COMPLETE,
@@ -42,10 +42,10 @@
     case 'show':
       return showOwn(statement.name, state);
     case 'resetAll':
-      state.forgetSettings();
+      state.clearSettings();
       return done('RESET');
     case 'discardAll':
-      state.forgetSettings();
+      state.clearSettings();
       return done('DISCARD ALL');
     default:
       return undefined;
@@ -57,8 +57,8 @@
   state: SessionState,
   classes: ReadonlySet<ClassName>,
 ): LocalAnswer | undefined {
-  if (!SessionState.isOwn(name)) return undefined;
-  const fault = state.setOwn(name, value, classes);
+  if (!SessionState.isProxyVariable(name)) return undefined;
+  const fault = state.setProxyVariable(name, value, classes);
   if (!fault) return done('SET');
   const {message} = fault;
   const error = {severity: 'ERROR', code: INVALID_PARAMETER, message} as const;
@@ -66,7 +66,7 @@
 }
 
 function showOwn(name: string, state: SessionState): LocalAnswer | undefined {
-  const value = state.showOwn(name);
+  const value = state.showProxyVariable(name);
   if (value === undefined) return undefined;
   return {tag: 'SHOW', shown: {name, value}, error: undefined};
 }
@@ -81,7 +81,10 @@
   answer: LocalAnswer,
 ): Buffer {
   if (answer.error) {
-    return Buffer.concat([encodeError(answer.error), encodeReady('idle')]);
+    return Buffer.concat([
+      encodeError(answer.error),
+      encodeReadyForQuery('idle'),
+    ]);
   }
   const parts = messages.flatMap(({message}) => {
     switch (message.kind) {
@@ -95,7 +98,9 @@
         return [CLOSE_COMPLETE];
       case 'describe': {
         const parameters =
-          message.of === 'statement' ? [encodeParameterDescription([])] : [];
+          message.objectKind === 'statement'
+            ? [encodeParameterDescription([])]
+            : [];
         const columns = description(answer);
         return [...parameters, ...(columns.length > 0 ? columns : [NO_DATA])];
       }
@@ -105,7 +110,7 @@
         return [];
     }
   });
-  return Buffer.concat([...parts, encodeReady('idle')]);
+  return Buffer.concat([...parts, encodeReadyForQuery('idle')]);
 }
 
 function description({shown}: LocalAnswer): Buffer[] {
@@ -114,6 +119,6 @@
 }
 
 function rowAndEnd({shown, tag}: LocalAnswer): Buffer[] {
-  const row = shown ? [encodeRow([shown.value])] : [];
-  return [...row, encodeComplete(tag)];
+  const row = shown ? [encodeDataRow([shown.value])] : [];
+  return [...row, encodeCommandComplete(tag)];
 }
--- a/src/proxy/node/main.ts
+++ b/src/proxy/node/main.ts
@@ -18,13 +18,13 @@
 import {ownController} from '../../base/node/timers';
 import {PostgresGrammar} from '../../services/sql/node/postgres_grammar';
 import {
-  formatFault,
+  formatSettingsError,
   parseSettings,
   type Settings,
 } from '../../services/settings/common/settings';
 import {
   loadSettings,
-  readSource,
+  readSettingsSource,
 } from '../../services/settings/node/settings_files';
 import {AnnouncementService} from '../../schema/generated/announcement_service';
 import {CallerServer} from './caller_server';
@@ -69,11 +69,11 @@
   const onSettings = (version: number, text: string) => {
     const parsed = parseSettings(
       {file: 'settings', text},
-      args.overlay === '' ? undefined : readSource(args.overlay),
+      args.overlay === '' ? undefined : readSettingsSource(args.overlay),
     );
     settingsVersion = version;
     if (parsed.isErr) {
-      const faults = parsed.error.map(formatFault).join('; ');
+      const faults = parsed.error.map(formatSettingsError).join('; ');
       log.error('The overlay does not fit the settings.', {version, faults});
       return;
     }
@@ -135,7 +135,9 @@
 
 function checkedSettings(args: Arguments): Settings {
   const settings = loadSettings(args.settings, args.overlay);
-  if (settings.isErr) fail(EXIT_SETTINGS, settings.error.map(formatFault));
+  if (settings.isErr) {
+    fail(EXIT_SETTINGS, settings.error.map(formatSettingsError));
+  }
   return settings.value;
 }
 
--- a/src/proxy/node/own_query.ts
+++ b/src/proxy/node/own_query.ts
@@ -1,11 +1,15 @@
 import {serialize} from 'pg-protocol';
 import type {Task} from '../../base/node/task';
 import type {TargetConnection} from '../../services/pool/node/target_connection';
-import {bodyOf, FrameSplitter, typeOf} from '../../services/wire/common/frames';
-import {BodyReader} from '../../services/wire/common/reader';
+import {
+  bodyOf,
+  FrameDecoder,
+  typeByteOf,
+} from '../../services/wire/common/frames';
+import {BodyReader} from '../../services/wire/common/body_reader';
 import {Exchange, type AnswerSink, type ExchangeEnd} from './exchange';
 
-const DATA_ROW = typeOf('D');
+const DATA_ROW = typeByteOf('D');
 const MOST_BYTES = 64 * 1024 * 1024;
 
 /** The proxy's own query on a connection: its end and its rows' first values. */
@@ -39,7 +43,7 @@
 
 class FirstValues implements AnswerSink {
   readonly values: string[] = [];
-  private readonly splitter = new FrameSplitter(MOST_BYTES);
+  private readonly splitter = new FrameDecoder(MOST_BYTES);
 
   send(bytes: Buffer): boolean {
     const frames = this.splitter.push(bytes);
--- a/src/proxy/node/place.ts
+++ b/src/proxy/node/place.ts
@@ -1,6 +1,6 @@
 import type {Result} from '../../base/common/outcome';
 import {Reply, type Task} from '../../base/node/task';
-import type {CommitOutcome} from '../../services/confirmation/common/commits';
+import type {CommitOutcome} from '../../services/confirmation/common/pending_commits';
 import type {Position} from '../../services/position/common/position';
 import type {NotRun} from '../common/not_run';
 import type {Grant} from './request';
@@ -47,9 +47,9 @@
 
   /** Makes the session's settings on the connection; false where it fails. */
   *prepare(): Task<boolean> {
-    const {replay} = this.context.state;
+    const {settingStatements: replay} = this.context.state;
     if (replay.length === 0) return true;
-    this.connection.dirty = true;
+    this.connection.isDirty = true;
     const answer = yield* runOwnQuery(this.connection, replay.join(';'));
     return succeeded(answer);
   }
@@ -72,10 +72,10 @@
   private *clean(): Task<boolean> {
     const {connection} = this;
     if (connection.isClosed) return false;
-    if (!connection.dirty) return true;
+    if (!connection.isDirty) return true;
     const answer = yield* runOwnQuery(connection, 'DISCARD ALL');
-    connection.prepared.clear();
-    connection.dirty = false;
+    connection.preparedStatements.clear();
+    connection.isDirty = false;
     return succeeded(answer);
   }
 }
--- a/src/proxy/node/proxy_services.ts
+++ b/src/proxy/node/proxy_services.ts
@@ -136,7 +136,7 @@
         directory: this.directory,
         system: this.settings.system,
         clock: this.clock,
-        distance: (from, to) => this.settings.distance(from, to),
+        distance: (from, to) => this.settings.oneWayLatencyMs(from, to),
         ping: key => this.observer.ping(key),
         onDidHaveNews: () => this.haveNews(),
       },
--- a/src/proxy/node/request.ts
+++ b/src/proxy/node/request.ts
@@ -1,10 +1,10 @@
 import type {ClassName, InstanceId, ServiceName} from '../../base/common/ids';
 import type {Result} from '../../base/common/outcome';
-import type {Waiting} from '../../services/admission/common/fair_queue';
+import type {QueuedRequest} from '../../services/admission/common/fair_queue';
 import type {NotRun} from '../common/not_run';
 import type {TargetConnection} from '../../services/pool/node/target_connection';
 import type {Position} from '../../services/position/common/position';
-import type {RouteReason} from '../../services/routing/common/router';
+import type {RouteReason} from '../../services/routing/common/route_read';
 
 /** A place on a target for one transaction. */
 export interface Grant {
@@ -20,7 +20,7 @@
 }
 
 /** A transaction that waits for a place on a target. */
-export interface PlaceRequest extends Waiting {
+export interface PlaceRequest extends QueuedRequest {
   readonly service: ServiceName;
   readonly requestClass: ClassName;
   readonly needs: 'read' | 'write';
--- a/src/proxy/node/request_meter.ts
+++ b/src/proxy/node/request_meter.ts
@@ -1,6 +1,6 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 import type {CallerName, ClassName, ServiceName} from '../../base/common/ids';
-import type {RouteReason} from '../../services/routing/common/router';
+import type {RouteReason} from '../../services/routing/common/route_read';
 
 /** Parts of a request's time. */
 export type Phase = 'queue' | 'target' | 'whole';
--- a/src/proxy/node/service_router.ts
+++ b/src/proxy/node/service_router.ts
@@ -12,26 +12,26 @@
 import {
   CLOSED_GRACE_MS,
   isConnected,
-  silenceOf,
+  silenceMsOf,
   type PositionSample,
   type TargetDirectory,
   type TargetKey,
 } from '../../services/announcement/common/target_directory';
 import {
-  Commits,
+  PendingCommits,
   type CommitOutcome,
-} from '../../services/confirmation/common/commits';
+} from '../../services/confirmation/common/pending_commits';
 import {TermLease} from '../../services/lease/common/term_lease';
 import type {TargetConnection} from '../../services/pool/node/target_connection';
-import {Lineage} from '../../services/position/common/lineage';
+import {TermHistory} from '../../services/position/common/term_history';
 import type {Position} from '../../services/position/common/position';
 import {
   routeRead,
-  type Candidate,
-  type Distance,
+  type ReadCandidate,
+  type SiteLatency,
   type RouteDecision,
-} from '../../services/routing/common/router';
-import {SampleHistory} from '../../services/routing/common/sample_history';
+} from '../../services/routing/common/route_read';
+import {OffsetHistory} from '../../services/routing/common/offset_history';
 import type {
   ServiceSettings,
   SystemSettings,
@@ -111,14 +111,13 @@
   | {readonly kind: 'free'}
   | {readonly kind: 'tick'};
 
-/** What a router is built on. */
 export interface RouterSurroundings {
   readonly service: ServiceName;
   readonly site: SiteId;
   readonly directory: TargetDirectory;
   readonly system: SystemSettings;
   readonly clock: Clock;
-  readonly distance: Distance;
+  readonly distance: SiteLatency;
   ping(key: TargetKey): void;
   /** Control should hear soon: a term given up, a primary lost. */
   onDidHaveNews(): void;
@@ -132,13 +131,13 @@
   readonly lease: TermLease;
   private readonly mailbox = new Mailbox<RouterMessage>(65_536);
   private readonly queue = new FairQueue<PlaceRequest>();
-  private readonly history = new SampleHistory();
+  private readonly history = new OffsetHistory();
   private readonly arrivals = new ArrivalPositions();
   private readonly arrivalQuestion: ArrivalQuestion;
   private readonly targets: ServiceTargets;
-  private readonly commits: Commits;
+  private readonly commits: PendingCommits;
   private record: ServiceRecord | undefined;
-  private lineage = new Lineage(0, []);
+  private lineage = new TermHistory(0, []);
   private lastPrimary: InstanceId | undefined;
   private writesRunning = 0;
   private changeSeenAt = 0;
@@ -156,7 +155,7 @@
     this.arrivalQuestion = new ArrivalQuestion(clock, () => {
       for (const {key} of directory.targetsOf(service)) around.ping(key);
     });
-    this.commits = new Commits(this.lease, settings.confirmations);
+    this.commits = new PendingCommits(this.lease, settings.confirmations);
     this.targets = new ServiceTargets(
       {
         service,
@@ -202,7 +201,7 @@
     const primary = directory.targetsOf(service).find(({key}) => {
       return key.instance === record.primary;
     });
-    const silentMs = primary ? Math.round(silenceOf(primary, now)) : 0;
+    const silentMs = primary ? Math.round(silenceMsOf(primary, now)) : 0;
     const refused = primary !== undefined && !isConnected(primary, now);
     const unconfirmedMs = Math.round(this.commits.unconfirmedMs(now));
     const {term} = record;
@@ -247,7 +246,10 @@
       case 'record':
         return this.onRecord(message.record, now);
       case 'closed':
-        return this.history.onClosed(message.askedAt, message.answeredAt);
+        return this.history.onWritesBlocked(
+          message.askedAt,
+          message.answeredAt,
+        );
       case 'lease':
         return this.onLease(message.term, message.askedAt, message.leaseMs);
       case 'settings':
@@ -274,7 +276,7 @@
   private refusalOf(request: PlaceRequest, now: number): NotRun | undefined {
     const parallel = Math.max(1, this.targets.capacity);
     const expectedMs =
-      (this.queue.aheadOf(request) * this.serviceTimeMs) / parallel;
+      (this.queue.countAhead(request) * this.serviceTimeMs) / parallel;
     const retryAfterMs = Math.ceil(expectedMs) + DEFAULT_RETRY_MS;
     if (this.queue.size >= this.settings.queue) {
       return {reason: 'queue full', retryAfterMs};
@@ -297,7 +299,7 @@
     const primaryUsable = this.isPrimaryUsable(record, now);
     const {targets, lineage} = this;
     const view = new DispatchView(targets, record, lineage, primaryUsable);
-    this.queue.serve(now, request => {
+    this.queue.offer(now, request => {
       if (!this.targets.hasFree) return 'stop';
       const needsPrimary = request.needs === 'write' || request.ageMs === 0;
       const candidates = needsPrimary ? view.primary : view.all;
@@ -315,7 +317,7 @@
   private place(
     request: PlaceRequest,
     record: ServiceRecord,
-    candidates: readonly Candidate[],
+    candidates: readonly ReadCandidate[],
     now: number,
   ): boolean {
     const required = this.requiredOf(request);
@@ -342,16 +344,16 @@
   private decide(
     request: PlaceRequest,
     required: Position | undefined,
-    candidates: readonly Candidate[],
+    candidates: readonly ReadCandidate[],
     now: number,
   ): RouteDecision {
     const isWrite = request.needs === 'write';
     const offset = required && this.lineage.requiredOffset(required);
     return routeRead(
       {
-        ageMs: isWrite ? 0 : request.ageMs,
-        requiredOffset: offset,
-        olderWithNotice: request.olderWithNotice,
+        maxAgeMs: isWrite ? 0 : request.ageMs,
+        minOffset: offset,
+        allowsOlder: request.olderWithNotice,
         waitedMs: now - request.since,
       },
       candidates,
@@ -385,7 +387,7 @@
     if (!record) return 0;
     return this.targets
       .candidates(record, this.lineage, false)
-      .filter(({usable}) => usable).length;
+      .filter(({isUsable}) => isUsable).length;
   }
 
   private noteFree(): void {
@@ -459,12 +461,14 @@
     this.lineage = lineageOf(record);
     if (isNewTerm) {
       this.changeSeenAt = now;
-      this.history.onOpened();
+      this.history.onWritesResumed();
     }
     if (record.phase === Phase.PHASE_STEADY) this.onSteady(record, known);
     this.giveUpIfDone(now);
     // Until the lease is given up, commits of its term may still be confirmed.
-    if (this.lease.term >= record.term) this.commits.onRecord(record, now);
+    if (this.lease.term >= record.term) {
+      this.commits.onServiceRecord(record, now);
+    }
     this.dispatch();
   }
 
@@ -472,7 +476,7 @@
     record: ServiceRecord,
     known: ServiceRecord | undefined,
   ): void {
-    this.lease.giveUpBelow(record.term);
+    this.lease.returnBelow(record.term);
     const primary = instanceId(record.primary);
     const {lastPrimary} = this;
     if (lastPrimary && lastPrimary !== primary) {
@@ -489,11 +493,11 @@
     const {record} = this;
     if (record?.phase !== Phase.PHASE_CHANGING) return;
     if (this.lease.term >= record.term) return;
-    const busy = this.writesRunning > 0 || this.commits.waiting > 0;
+    const busy = this.writesRunning > 0 || this.commits.pendingCount > 0;
     const patient = now - this.changeSeenAt < PLANNED_PATIENCE_MS;
     if (record.planned && busy && patient) return;
-    this.lease.giveUpBelow(record.term);
-    this.commits.onRecord(record, now);
+    this.lease.returnBelow(record.term);
+    this.commits.onServiceRecord(record, now);
     // Whoever still waits for the old primary gets the final answer now.
     if (this.lastPrimary) this.targets.abandon(this.lastPrimary);
     this.around.onDidHaveNews();
@@ -503,15 +507,15 @@
     const {record} = this;
     if (record?.term !== term || record.phase !== Phase.PHASE_STEADY) return;
     this.lease.extend(term, askedAt, leaseMs);
-    this.history.onOpened();
-    this.commits.onLease(this.around.clock.now());
+    this.history.onWritesResumed();
+    this.commits.onLeaseExtended(this.around.clock.now());
     this.dispatch();
   }
 
   private onSettings(settings: ServiceSettings): void {
     this.settings = settings;
     this.targets.setSettings(settings);
-    this.commits.setNeeded(settings.confirmations);
+    this.commits.setRequiredConfirmations(settings.confirmations);
   }
 
   /**
@@ -552,6 +556,6 @@
 }
 
 /** Between two terms the log in force is still that of the last one. */
-function lineageOf({termStarts}: ServiceRecord): Lineage {
-  return new Lineage(termStarts.at(-1)?.term ?? 0, termStarts);
+function lineageOf({termStarts}: ServiceRecord): TermHistory {
+  return new TermHistory(termStarts.at(-1)?.term ?? 0, termStarts);
 }
--- a/src/proxy/node/service_targets.ts
+++ b/src/proxy/node/service_targets.ts
@@ -9,15 +9,18 @@
 import {childController} from '../../base/node/timers';
 import {
   isConnected,
-  silenceOf,
+  silenceMsOf,
   type TargetDirectory,
   type TargetObservation,
 } from '../../services/announcement/common/target_directory';
 import {TargetPool} from '../../services/pool/node/target_pool';
-import type {Candidate, Distance} from '../../services/routing/common/router';
+import type {
+  ReadCandidate,
+  SiteLatency,
+} from '../../services/routing/common/route_read';
 import {OutlierEjection} from '../../services/routing/common/outlier_ejection';
-import type {Lineage} from '../../services/position/common/lineage';
-import type {SampleHistory} from '../../services/routing/common/sample_history';
+import type {TermHistory} from '../../services/position/common/term_history';
+import type {OffsetHistory} from '../../services/routing/common/offset_history';
 import type {
   ServiceSettings,
   SystemSettings,
@@ -33,10 +36,10 @@
   readonly service: ServiceName;
   readonly site: SiteId;
   readonly directory: TargetDirectory;
-  readonly history: SampleHistory;
+  readonly history: OffsetHistory;
   readonly system: SystemSettings;
   readonly clock: Clock;
-  readonly distance: Distance;
+  readonly distance: SiteLatency;
   onDidFree(): void;
 }
 
@@ -61,7 +64,7 @@
   setSettings(settings: ServiceSettings): void {
     this.settings = settings;
     for (const {pool} of this.targets.values()) {
-      pool.setCapacity(this.capacity);
+      pool.setMaxConnections(this.capacity);
     }
   }
 
@@ -89,7 +92,7 @@
       this.capacity,
       clock,
       {
-        onDidFree: () => this.around.onDidFree(),
+        onDidRelease: () => this.around.onDidFree(),
         onDidFailToOpen: () => {},
       },
       controller.signal,
@@ -110,12 +113,12 @@
 
   /** Gives up what still runs on a target that leads no more. */
   abandon(instance: InstanceId): void {
-    this.targets.get(instance)?.pool.abandon();
+    this.targets.get(instance)?.pool.destroyInUse();
   }
 
   /** Some connection is free to take a transaction. */
   get hasFree(): boolean {
-    return [...this.targets.values()].some(({pool}) => pool.free > 0);
+    return [...this.targets.values()].some(({pool}) => pool.idleCount > 0);
   }
 
   maintain(): void {
@@ -125,9 +128,9 @@
   /** All members as candidates for a read. */
   candidates(
     record: ServiceRecord,
-    lineage: Lineage,
+    lineage: TermHistory,
     primaryUsable: boolean,
-  ): Candidate[] {
+  ): ReadCandidate[] {
     const {directory, service} = this.around;
     const now = this.around.clock.now();
     const draining = new Set(
@@ -152,14 +155,14 @@
   }
 
   /** The primary alone, where nothing else will do. */
-  primaryCandidate(record: ServiceRecord, usable: boolean): Candidate[] {
+  primaryCandidate(record: ServiceRecord, usable: boolean): ReadCandidate[] {
     const instance = instanceId(record.primary);
     const pool = this.targets.get(instance)?.pool;
     if (!pool || !usable) return [];
     const isPrimary = true;
-    const nearness = {ageMs: 0, distanceMs: 0, lagMs: 0, appliedOffset: 0};
-    const load = {free: pool.free, running: pool.inUse};
-    return [{instance, isPrimary, usable, ...nearness, ...load}];
+    const nearness = {ageMs: 0, latencyMs: 0, lagMs: 0, appliedOffset: 0};
+    const load = {freeCount: pool.idleCount, runningCount: pool.inUseCount};
+    return [{instance, isPrimary, isUsable: usable, ...nearness, ...load}];
   }
 
   /** The primary in force, if it says so itself and can be reached. */
@@ -181,33 +184,33 @@
     target: TargetObservation,
     {pool, lagMs}: PooledTarget,
     record: ServiceRecord,
-    lineage: Lineage,
+    lineage: TermHistory,
     primaryUsable: boolean,
     isDrained: boolean,
     now: number,
-  ): Candidate {
+  ): ReadCandidate {
     const {status, key} = target;
     const {history, distance, site, system} = this.around;
     const isPrimary = key.instance === record.primary;
     const answers =
-      isConnected(target, now) && silenceOf(target, now) < system.silenceMs;
+      isConnected(target, now) && silenceMsOf(target, now) < system.silenceMs;
     const welcome = !isDrained && !status.leaving;
     const healthy = !this.ejection.isEjected(key.instance, now);
     // Past the common part a member may show writes that were given up.
     const common = lineage.commonOffset(status.logTerm);
     const isPrefix = status.appliedOffset <= common;
-    const limit = this.ejection.limitOf(key.instance, now);
+    const limit = this.ejection.concurrencyLimitOf(key.instance, now);
     return {
       instance: key.instance,
       isPrimary,
-      usable: isPrimary
+      isUsable: isPrimary
         ? primaryUsable
         : answers && welcome && healthy && isPrefix,
       appliedOffset: status.appliedOffset,
       ageMs: history.ageOf(status.appliedOffset, now),
-      free: pool.inUse < limit ? pool.free : 0,
-      running: pool.inUse,
-      distanceMs: distance(site, siteId(status.site)),
+      freeCount: pool.inUseCount < limit ? pool.idleCount : 0,
+      runningCount: pool.inUseCount,
+      latencyMs: distance(site, siteId(status.site)),
       lagMs,
     };
   }
--- a/src/proxy/node/session_context.ts
+++ b/src/proxy/node/session_context.ts
@@ -56,7 +56,7 @@
     needs,
     ageMs,
     olderWithNotice,
-    required: context.state.required,
+    required: context.state.requiredPosition,
     arrivedAt: context.arrivedAt,
     since,
   };
--- a/src/services/account/common/account_counter.ts
+++ b/src/services/account/common/account_counter.ts
@@ -6,11 +6,11 @@
   AccountUse,
 } from '../../../schema/generated/fleet';
 import {
-  MOST_RETRY_MS,
+  MAX_RETRY_MS,
   SHARE_LEASE_MS,
   type PermitCounter,
   type PermitDecision,
-} from './counting';
+} from './permit_counting';
 import {PERMIT_VALID_MS, PermitBucket} from './permit_bucket';
 
 /**
@@ -58,10 +58,10 @@
 
   /** Each one that is refused is told of a token of its own. */
   private refuse(now: number): PermitDecision {
-    const betweenMs = 1_000 / this.bucket.terms.perSecond;
+    const betweenMs = 1_000 / this.bucket.rateLimit.perSecond;
     const firstAt = now + this.bucket.waitMs(now);
     const at = Math.max(firstAt, this.promisedAt + betweenMs, now);
-    this.promisedAt = Math.min(at, now + MOST_RETRY_MS);
+    this.promisedAt = Math.min(at, now + MAX_RETRY_MS);
     return {
       kind: 'refused',
       retryAfterMs: Math.ceil(this.promisedAt - now),
@@ -121,7 +121,7 @@
     for (const share of shares) this.setShare(share, now);
   }
 
-  extend(askedAt: number): void {
+  extendLease(askedAt: number): void {
     this.dropLapsed(this.clock.now());
     this.until = Math.max(this.until, askedAt + this.leaseMs);
     this.dropsAt = Math.max(this.dropsAt, this.until + DROP_AFTER_MS);
@@ -131,13 +131,13 @@
     this.number = 0;
   }
 
-  get held(): AccountShare[] {
+  get heldShares(): AccountShare[] {
     const now = this.clock.now();
     // Guard: control frees at once what is not named here. Shares whose lease
     // is over must not come back with the next one.
     if (now >= this.until) this.drop();
     return [...this.accounts].map(([account, {bucket}]) => {
-      return {account, ...bucket.terms, tokens: 0};
+      return {account, ...bucket.rateLimit, tokens: 0};
     });
   }
 
@@ -150,12 +150,12 @@
     return Math.floor(Math.min(Math.max(0, idleMs), MOST_IDLE_MS));
   }
 
-  get sharesNumber(): number {
+  get shareListNumber(): number {
     this.dropLapsed(this.clock.now());
     return this.number;
   }
 
-  ask(name: string, wanted: number): PermitDecision {
+  requestPermits(name: string, wanted: number): PermitDecision {
     const now = this.clock.now();
     // Guard: control gives these shares to others after the lease.
     if (now >= this.until) return {kind: 'unknown account'};
@@ -166,7 +166,7 @@
     return decision;
   }
 
-  takeBack(name: string, count: number): void {
+  returnPermits(name: string, count: number): void {
     this.accounts.get(name)?.takeBack(count, this.clock.now());
   }
 
@@ -187,7 +187,7 @@
     const terms = {perSecond, depth};
     const known = this.accounts.get(account);
     const bucket = known?.bucket ?? new PermitBucket(terms, now);
-    if (known) bucket.setTerms(terms, now);
+    if (known) bucket.setRateLimit(terms, now);
     else this.accounts.set(account, new CountedAccount(bucket));
     if (tokens > 0) bucket.add(tokens, now);
   }
@@ -203,5 +203,5 @@
 }
 
 function canRun({bucket}: CountedAccount): boolean {
-  return bucket.terms.perSecond > 0 && bucket.terms.depth >= 1;
+  return bucket.rateLimit.perSecond > 0 && bucket.rateLimit.depth >= 1;
 }
--- a/src/services/account/common/account_index.ts
+++ b/src/services/account/common/account_index.ts
@@ -13,7 +13,7 @@
   }
 
   /** The account that holds a key; undefined where none does. */
-  holderOf(digest: string): AccountEntry | undefined {
+  findByDigest(digest: string): AccountEntry | undefined {
     return this.byDigest.get(digest);
   }
 
--- a/src/services/account/common/catalog_lease.ts
+++ b/src/services/account/common/catalog_lease.ts
@@ -33,17 +33,17 @@
   ) {}
 
   /** Takes a majority's confirmation of a question asked at a time. */
-  extend(askedAt: number): void {
+  extendLease(askedAt: number): void {
     const end = askedAt + this.boundMs * LEASE_PART;
     this.until = Math.max(this.until, end);
   }
 
   /** How long it has been over, in milliseconds; below 0 while it is held. */
-  get lapsedMs(): number {
+  get expiredForMs(): number {
     return this.clock.now() - this.until;
   }
 
   get isHeld(): boolean {
-    return this.boundMs === 0 || this.lapsedMs < 0;
+    return this.boundMs === 0 || this.expiredForMs < 0;
   }
 }
--- a/src/services/account/common/counter_choice.ts
+++ b/src/services/account/common/counter_choice.ts
@@ -2,7 +2,7 @@
 import type {CounterEntry} from '../../../schema/generated/fleet';
 
 /** Where a proxy is, to find the counters near it. */
-export interface CounterRegion {
+export interface ProxyRegion {
   readonly site: string;
   regionOf(site: string): string;
 }
@@ -27,7 +27,7 @@
 export function rankCounters(
   counters: readonly CounterEntry[],
   account: string,
-  {site, regionOf}: CounterRegion,
+  {site, regionOf}: ProxyRegion,
 ): CounterEntry[] {
   const own = regionOf(site);
   const ranked = counters.map(entry => ({
@@ -40,11 +40,11 @@
 }
 
 /** What is asked for when a counter is chosen. */
-export interface CounterWish {
+export interface CounterChoiceOptions {
   /** Those that gave no decision. */
-  readonly passed: ReadonlySet<string>;
+  readonly excluded: ReadonlySet<string>;
   /** Whether a link that is being opened is worth waiting for. */
-  readonly mayWait: boolean;
+  readonly canWaitForLink: boolean;
 }
 
 /**
@@ -55,7 +55,7 @@
 export function chooseCounter(
   ranked: readonly CounterEntry[],
   stateOf: (entry: CounterEntry) => CounterState,
-  {passed, mayWait}: CounterWish,
+  {excluded: passed, canWaitForLink: mayWait}: CounterChoiceOptions,
 ): CounterEntry | 'soon' | undefined {
   for (const entry of ranked) {
     if (passed.has(entry.instance)) continue;
--- a/src/services/account/common/counter_plan.ts
+++ b/src/services/account/common/counter_plan.ts
@@ -10,12 +10,12 @@
 }
 
 /** What counters are named for. */
-export interface CounterNeed {
+export interface CounterRequirements {
   /** Whether any account has a limit. */
   readonly hasLimits: boolean;
   regionOf(site: string): string;
   /** Whether a counter that is retiring can hold no share any more. */
-  isFree(instance: string): boolean;
+  canRemove(instance: string): boolean;
 }
 
 /** What becomes of one counter, and why. */
@@ -53,7 +53,7 @@
 
   /** The counters from now on; undefined where those in place stay. */
   plan(
-    need: CounterNeed,
+    need: CounterRequirements,
     attached: readonly CounterCandidate[],
     inPlace: readonly CounterEntry[],
     now: number,
@@ -96,7 +96,7 @@
   private readonly candidates: ReadonlyMap<string, CounterCandidate>;
 
   constructor(
-    private readonly need: CounterNeed,
+    private readonly need: CounterRequirements,
     attached: readonly CounterCandidate[],
   ) {
     this.candidates = new Map(attached.map(one => [one.instance, one]));
@@ -133,7 +133,7 @@
   }
 
   private keepRetiring(entry: CounterEntry): void {
-    if (!this.need.isFree(entry.instance)) {
+    if (!this.need.canRemove(entry.instance)) {
       this.counters.push(entry);
     } else {
       this.note(entry, 'removed', 'it can hold no share any more');
--- a/src/services/account/common/held_permits.ts
+++ b/src/services/account/common/held_permits.ts
@@ -1,9 +1,9 @@
 import {
-  MOST_RETRY_MS,
-  type PermitBook,
+  MAX_RETRY_MS,
+  type PermitCache,
   type PermitDecision,
-  type PermitKnowledge,
-} from './counting';
+  type PermitLookup,
+} from './permit_counting';
 import {DecayedRate} from './decayed_rate';
 
 /** What can be used in this time is asked for, in milliseconds. */
@@ -51,7 +51,7 @@
     this.granted = new DecayedRate(now);
   }
 
-  look(now: number): PermitKnowledge {
+  look(now: number): PermitLookup {
     this.demand.add(1, now);
     if (this.take(now)) return {kind: 'taken'};
     if (now < this.roomAt) return this.refuse(now);
@@ -110,28 +110,28 @@
     return Math.max(1, Math.floor(expected));
   }
 
-  private refuse(now: number): PermitKnowledge {
+  private refuse(now: number): PermitLookup {
     const betweenMs = 1_000 / Math.max(1, this.granted.perSecond(now));
     const step = Math.min(
       MOST_BETWEEN_MS,
       Math.max(LEAST_BETWEEN_MS, betweenMs),
     );
     const at = Math.max(this.roomAt, this.toldAt + step);
-    this.toldAt = Math.min(at, now + MOST_RETRY_MS);
+    this.toldAt = Math.min(at, now + MAX_RETRY_MS);
     const retryAfterMs = Math.ceil(Math.max(1, this.toldAt - now));
     return {kind: 'refused', retryAfterMs};
   }
 }
 
 /** A proxy's memory of what counters granted it and when there is room. */
-export class HeldPermits implements PermitBook {
+export class HeldPermits implements PermitCache {
   private readonly accounts = new Map<string, AccountPermits>();
 
-  look(account: string, now: number): PermitKnowledge {
+  tryTake(account: string, now: number): PermitLookup {
     return this.permitsOf(account, now).look(now);
   }
 
-  onAnswered(
+  onDidReceiveDecision(
     account: string,
     askedAt: number,
     decision: PermitDecision,
@@ -148,7 +148,7 @@
     }
   }
 
-  takeBack(account: string, now: number): boolean {
+  returnPermit(account: string, now: number): boolean {
     return this.accounts.get(account)?.takeBack(now) ?? false;
   }
 
--- a/src/services/account/common/limit_allocator.ts
+++ b/src/services/account/common/limit_allocator.ts
@@ -8,10 +8,10 @@
 } from '../../../schema/generated/fleet';
 import {
   SHARE_LEASE_MS,
-  type AccountJudgement,
+  type NearLimitChange,
   type ShareAllocator,
-} from './counting';
-import {PLAIN_BUCKETS, type LimitPrecision} from './enforcement';
+} from './permit_counting';
+import {NO_LIMIT_WINDOW, type LimitPrecision} from './limit_precision';
 import {LimitedAccount} from './limited_account';
 import {leaseEnd, ShareHolder, STRAY_MS} from './share_holder';
 
@@ -43,7 +43,7 @@
    */
   constructor(
     private readonly since: number,
-    private readonly precision: LimitPrecision = PLAIN_BUCKETS,
+    private readonly precision: LimitPrecision = NO_LIMIT_WINDOW,
     private readonly leaseMs = SHARE_LEASE_MS,
   ) {
     this.confirmedAt = since;
@@ -71,7 +71,7 @@
     this.refresh(now);
   }
 
-  onAttached(
+  onDidAttach(
     counter: string,
     shares: readonly AccountShare[],
     idleSince: number,
@@ -94,13 +94,13 @@
     this.holders.get(counter)?.report(uses, sharesNumber, now);
   }
 
-  onRenewed(counter: string, now: number): void {
+  renewLease(counter: string, now: number): void {
     this.confirmedAt = Math.max(this.confirmedAt, now);
     this.holders.get(counter)?.renew(now);
     this.expire(now);
   }
 
-  sharesFor(counter: string, now: number): AccountShares | undefined {
+  takeChangedShares(counter: string, now: number): AccountShares | undefined {
     const holder = this.holders.get(counter);
     if (!holder || !this.active.includes(holder)) return undefined;
     // Guard: what is told to a counter that hears nothing would count as in use
@@ -119,8 +119,8 @@
     return holder.tell(shares);
   }
 
-  judge(now: number): AccountJudgement[] {
-    const changed: AccountJudgement[] = [];
+  updateNearLimit(now: number): NearLimitChange[] {
+    const changed: NearLimitChange[] = [];
     for (const [account, state] of this.accounts) {
       const demand = this.demandOf(account, now);
       if (!state.judge(demand)) continue;
@@ -129,12 +129,18 @@
         return holder.most(account, now).perSecond > 0;
       }).length;
       const rounded = Math.round(demand);
-      changed.push({account, isLimited, demand: rounded, terms, counters});
+      changed.push({
+        account,
+        isNearLimit: isLimited,
+        demand: rounded,
+        rateLimit: terms,
+        counters,
+      });
     }
     return changed;
   }
 
-  isFree(counter: string, now: number): boolean {
+  canRemove(counter: string, now: number): boolean {
     if (!this.isEmpty(counter, now)) {
       this.freeSince.delete(counter);
       return false;
--- a/src/services/account/common/enforcement.ts
+++ b/src/services/account/common/limit_precision.ts
@@ -1,5 +1,5 @@
 import type {AccountLimit} from '../../../schema/generated/fleet';
-import type {BucketTerms} from './token_bucket';
+import type {RateLimit} from './token_bucket';
 
 /** How exactly limits of accounts have to be kept, over all instances. */
 export interface LimitPrecision {
@@ -15,7 +15,7 @@
 }
 
 /** Where nothing is said, limits are kept as token buckets. */
-export const PLAIN_BUCKETS: LimitPrecision = {
+export const NO_LIMIT_WINDOW: LimitPrecision = {
   windowMs: 0,
   excess: 0,
   slack: 0,
@@ -35,7 +35,7 @@
 export function sharedTerms(
   {perSecond: rate, burst}: AccountLimit,
   {windowMs, excess, slack}: LimitPrecision,
-): BucketTerms {
+): RateLimit {
   if (windowMs === 0) return {perSecond: rate, depth: burst};
   const seconds = windowMs / 1_000;
   const inWindow = rate * seconds + burst;
--- a/src/services/account/common/limited_account.ts
+++ b/src/services/account/common/limited_account.ts
@@ -1,5 +1,5 @@
 import type {AccountLimit} from '../../../schema/generated/fleet';
-import {sharedTerms, type LimitPrecision} from './enforcement';
+import {sharedTerms, type LimitPrecision} from './limit_precision';
 import {divide} from './share_division';
 import type {ShareHolder} from './share_holder';
 import type {ShareHolding} from './share_holding';
@@ -12,7 +12,7 @@
   NO_SHARE,
   plus,
 } from './share_terms';
-import type {BucketTerms} from './token_bucket';
+import type {RateLimit} from './token_bucket';
 
 /** A share that differs by less than this part is not told anew. */
 const SHARE_CHANGE_PART = 0.2;
@@ -26,20 +26,20 @@
 /** What counters have of a limit while not all came to this leader. */
 interface WithheldShares {
   /** What those had that came. */
-  readonly known: BucketTerms;
+  readonly known: RateLimit;
   /** What is left of the limit, for those that did not come. */
-  readonly unknown: BucketTerms;
+  readonly unknown: RateLimit;
 }
 
 /** An account with a limit, and how the limit is divided. */
 export class LimitedAccount {
-  terms: BucketTerms;
+  terms: RateLimit;
   isLimited = false;
   /** Set while counters may hold shares that this leader does not know. */
   private withheld: WithheldShares | undefined;
   /** Counts its limits. */
   private edition = 1;
-  private plan: ReadonlyMap<ShareHolder, BucketTerms> = new Map();
+  private plan: ReadonlyMap<ShareHolder, RateLimit> = new Map();
   private plannedAt = -Infinity;
   /** The part of a depth that is there at first, and how much in all. */
   private first = {part: 0, tokens: 0};
@@ -74,7 +74,7 @@
   }
 
   /** A share is withheld no more: a counter came with it. */
-  release(share: BucketTerms): void {
+  release(share: RateLimit): void {
     if (!this.withheld) return;
     const {known, unknown} = this.withheld;
     const left = minus(unknown, share);
@@ -90,7 +90,7 @@
     holder: ShareHolder,
     holders: readonly ShareHolder[],
     now: number,
-  ): BucketTerms | undefined {
+  ): RateLimit | undefined {
     const target = this.planFor(holders, now).get(holder);
     if (!target) return undefined;
     const holding = holder.holding(this.name);
@@ -137,10 +137,10 @@
    */
   private allowed(
     holder: ShareHolder,
-    target: BucketTerms,
+    target: RateLimit,
     holders: readonly ShareHolder[],
     now: number,
-  ): BucketTerms {
+  ): RateLimit {
     const holding = holder.holding(this.name);
     const own = minus(holding.most(now), holding.strayAt(now));
     const inUse = minus(this.sumOfMost(holders, now), own);
@@ -154,13 +154,13 @@
    * before this leadership and is raised in it says nothing of what unknown
    * counters hold; only what known ones came with is surely theirs.
    */
-  private get budget(): BucketTerms {
+  private get budget(): RateLimit {
     if (!this.withheld) return this.terms;
     const {known, unknown} = this.withheld;
     return lesser(known, minus(this.terms, unknown));
   }
 
-  private isWorthTelling(holding: ShareHolding, terms: BucketTerms): boolean {
+  private isWorthTelling(holding: ShareHolding, terms: RateLimit): boolean {
     const {told, isNews, edition} = holding;
     if (isNews) return true;
     if (edition !== this.edition && !isSame(told, terms)) return true;
@@ -170,7 +170,7 @@
   private planFor(
     holders: readonly ShareHolder[],
     now: number,
-  ): ReadonlyMap<ShareHolder, BucketTerms> {
+  ): ReadonlyMap<ShareHolder, RateLimit> {
     if (now - this.plannedAt < PLAN_MS) return this.plan;
     this.plan = this.makePlan(holders, now);
     this.plannedAt = now;
@@ -180,9 +180,9 @@
   private makePlan(
     holders: readonly ShareHolder[],
     now: number,
-  ): Map<ShareHolder, BucketTerms> {
+  ): Map<ShareHolder, RateLimit> {
     const {name} = this;
-    const plan = new Map<ShareHolder, BucketTerms>();
+    const plan = new Map<ShareHolder, RateLimit>();
     const eligible = holders.filter(holder => holder.isEligible(now));
     const others = holders.filter(holder => !holder.isEligible(now));
     for (const holder of others) {
@@ -200,13 +200,13 @@
   }
 
   /** Permits that counters gave before they lost their shares. */
-  private stray(holders: readonly ShareHolder[], now: number): BucketTerms {
+  private stray(holders: readonly ShareHolder[], now: number): RateLimit {
     return holders.reduce((sum, holder) => {
       return plus(sum, holder.holding(this.name).strayAt(now));
     }, NO_SHARE);
   }
 
-  private sumOfMost(holders: readonly ShareHolder[], now: number): BucketTerms {
+  private sumOfMost(holders: readonly ShareHolder[], now: number): RateLimit {
     let perSecond = 0;
     let depth = 0;
     for (const holder of holders) {
--- a/src/services/account/common/permit_bucket.ts
+++ b/src/services/account/common/permit_bucket.ts
@@ -1,4 +1,4 @@
-import {TokenBucket, type BucketTerms} from './token_bucket';
+import {TokenBucket, type RateLimit} from './token_bucket';
 
 /** How long permits beyond the first of an answer are good, in milliseconds. */
 export const PERMIT_VALID_MS = 500;
@@ -34,18 +34,18 @@
   private grants: Grant[] = [];
 
   constructor(
-    private shareTerms: BucketTerms,
+    private shareTerms: RateLimit,
     now: number,
   ) {
     // Guard: a share that is new brings no tokens; they would be there twice.
     this.bucket = new TokenBucket(shareTerms, 0, now);
   }
 
-  get terms(): BucketTerms {
+  get rateLimit(): RateLimit {
     return this.shareTerms;
   }
 
-  setTerms(terms: BucketTerms, now: number): void {
+  setRateLimit(terms: RateLimit, now: number): void {
     this.fit(now);
     this.shareTerms = terms;
     this.resize(now);
@@ -149,7 +149,7 @@
   /** Leaves room in the bucket for the permits that are out. */
   private resize(now: number): void {
     const {perSecond, depth} = this.shareTerms;
-    this.bucket.setTerms({perSecond, depth: depth - this.out}, now);
+    this.bucket.setRateLimit({perSecond, depth: depth - this.out}, now);
   }
 }
 
--- a/src/services/account/common/counting.ts
+++ b/src/services/account/common/permit_counting.ts
@@ -5,7 +5,7 @@
   AccountUse,
   CounterEntry,
 } from '../../../schema/generated/fleet';
-import type {BucketTerms} from './token_bucket';
+import type {RateLimit} from './token_bucket';
 
 /**
  * How long a counter keeps to its shares without a confirmed word of control,
@@ -34,13 +34,13 @@
 }
 
 /** An account that came close to its limit, or has room again. */
-export interface AccountJudgement {
+export interface NearLimitChange {
   readonly account: string;
-  readonly isLimited: boolean;
+  readonly isNearLimit: boolean;
   /** Operations a second that it asks for, refused ones included. */
   readonly demand: number;
   /** What it may run at all counters together. */
-  readonly terms: BucketTerms;
+  readonly rateLimit: RateLimit;
   /** Counters that hold shares of it. */
   readonly counters: number;
 }
@@ -59,7 +59,7 @@
    *
    * @param idleSince Since when it has granted nothing, on control's clock.
    */
-  onAttached(
+  onDidAttach(
     counter: string,
     shares: readonly AccountShare[],
     idleSince: number,
@@ -73,17 +73,17 @@
     now: number,
   ): void;
   /** A majority confirmed this leader after a question of a counter. */
-  onRenewed(counter: string, now: number): void;
+  renewLease(counter: string, now: number): void;
   /** What changed for a counter since it was told; undefined for nothing. */
-  sharesFor(counter: string, now: number): AccountShares | undefined;
+  takeChangedShares(counter: string, now: number): AccountShares | undefined;
   /** Looks which accounts are close to their limits; those that changed. */
-  judge(now: number): AccountJudgement[];
+  updateNearLimit(now: number): NearLimitChange[];
   /** Whether a counter that is retiring can hold no share any more. */
-  isFree(counter: string, now: number): boolean;
+  canRemove(counter: string, now: number): boolean;
 }
 
 /** A retry is never asked for later than this, in milliseconds. */
-export const MOST_RETRY_MS = 5_000;
+export const MAX_RETRY_MS = 5_000;
 
 /** A counter lets operations run. */
 export interface GrantedPermits {
@@ -115,26 +115,26 @@
   setAccounts(accounts: readonly AccountEntry[]): void;
   setShares(shares: AccountShares): void;
   /** Takes a majority's confirmation of a question asked at a time. */
-  extend(askedAt: number): void;
+  extendLease(askedAt: number): void;
   /** It follows another leader, whose lists are numbered from 1 again. */
   onDidDetach(): void;
   /** The shares that it keeps to, for a leader that it comes to. */
-  readonly held: AccountShare[];
-  readonly sharesNumber: number;
+  readonly heldShares: AccountShare[];
+  readonly shareListNumber: number;
   /** For how long it has granted nothing, in milliseconds. */
   readonly idleMs: number;
   /**
    * @param wanted Operations that the asker could use while a permit is valid.
    */
-  ask(account: string, wanted: number): PermitDecision;
+  requestPermits(account: string, wanted: number): PermitDecision;
   /** Operations that were granted did not run. */
-  takeBack(account: string, count: number): void;
+  returnPermits(account: string, count: number): void;
   /** What was granted and refused since the last report. */
   takeReport(): AccountUse[];
 }
 
 /** What a proxy knows before it asks a counter. */
-export type PermitKnowledge =
+export type PermitLookup =
   /** It held a permit, which is taken now. */
   | {readonly kind: 'taken'}
   /** A counter said a moment ago that there is no room before then. */
@@ -148,15 +148,15 @@
     };
 
 /** What a proxy keeps of its counters' words, by account. */
-export interface PermitBook {
-  look(account: string, now: number): PermitKnowledge;
+export interface PermitCache {
+  tryTake(account: string, now: number): PermitLookup;
   /** Takes the answer to a question; permits beyond the first are kept. */
-  onAnswered(
+  onDidReceiveDecision(
     account: string,
     askedAt: number,
     decision: PermitDecision,
     now: number,
   ): void;
   /** Whether one that was counted in may be used by the next operation. */
-  takeBack(account: string, now: number): boolean;
+  returnPermit(account: string, now: number): boolean;
 }
--- a/src/services/account/common/permit_messages.ts
+++ b/src/services/account/common/permit_messages.ts
@@ -1,5 +1,5 @@
 import type {PermitReply} from '../../../schema/generated/account';
-import type {PermitDecision} from './counting';
+import type {PermitDecision} from './permit_counting';
 
 /** A counter's decision as a message. */
 export function encodeDecision(
--- a/src/services/account/common/permit_question.ts
+++ b/src/services/account/common/permit_question.ts
@@ -1,4 +1,4 @@
-import type {RefusedPermit} from './counting';
+import type {RefusedPermit} from './permit_counting';
 
 /**
  * An operation's question to one counter after the other. Guard: each counter
--- a/src/services/account/common/permit_totals.ts
+++ b/src/services/account/common/permit_totals.ts
@@ -1,4 +1,4 @@
-import type {PermitDecision} from './counting';
+import type {PermitDecision} from './permit_counting';
 
 /** Permits that end at about the same time are added up, in milliseconds. */
 const SLOT_MS = 50;
--- a/src/services/account/common/share_division.ts
+++ b/src/services/account/common/share_division.ts
@@ -1,6 +1,6 @@
 import {sumOf} from '../../../base/common/numbers';
 import {NO_SHARE} from './share_terms';
-import type {BucketTerms} from './token_bucket';
+import type {RateLimit} from './token_bucket';
 
 /**
  * The part of what an account does not ask for that stays with control, for the
@@ -22,9 +22,9 @@
 
 /** Divides a limit among counters by what they are asked for. */
 export function divide(
-  terms: BucketTerms,
+  terms: RateLimit,
   claims: readonly Claim[],
-): BucketTerms[] {
+): RateLimit[] {
   const shared = choose(claims, terms.depth);
   const demands = shared.map(claim => claim.demand);
   const rates = divideRate(terms.perSecond, demands);
--- a/src/services/account/common/share_holder.ts
+++ b/src/services/account/common/share_holder.ts
@@ -8,7 +8,7 @@
 import {PERMIT_VALID_MS} from './permit_bucket';
 import {ShareHolding} from './share_holding';
 import {NO_SHARE} from './share_terms';
-import type {BucketTerms} from './token_bucket';
+import type {RateLimit} from './token_bucket';
 
 /**
  * A counter's lease runs from its question, by its own clock; its shares are
@@ -135,7 +135,7 @@
     return true;
   }
 
-  most(account: string, now: number): BucketTerms {
+  most(account: string, now: number): RateLimit {
     return this.holdings.get(account)?.most(now) ?? NO_SHARE;
   }
 
--- a/src/services/account/common/share_holding.ts
+++ b/src/services/account/common/share_holding.ts
@@ -1,10 +1,10 @@
 import {PERMIT_PART} from './permit_bucket';
 import {greater, NO_SHARE, plus} from './share_terms';
-import type {BucketTerms} from './token_bucket';
+import type {RateLimit} from './token_bucket';
 
 interface ToldShare {
   readonly number: number;
-  readonly terms: BucketTerms;
+  readonly terms: RateLimit;
 }
 
 /** Permits that a counter gave before it lost its shares. */
@@ -21,7 +21,7 @@
   /** The first one is in force. */
   private lists: ToldShare[];
   /** The most of all lists. */
-  private inUse: BucketTerms;
+  private inUse: RateLimit;
   private stray: StrayPermits | undefined;
 
   constructor(
@@ -36,7 +36,7 @@
   }
 
   /** What it was told last. */
-  get told(): BucketTerms {
+  get told(): RateLimit {
     return this.lists.at(-1)!.terms;
   }
 
@@ -45,18 +45,18 @@
    * late; a share that is counted as lowered before the counter keeps to less
    * would be in use twice, and the account over its limit.
    */
-  most(now: number): BucketTerms {
+  most(now: number): RateLimit {
     const {inUse, stray} = this;
     return stray ? plus(inUse, this.strayAt(now)) : inUse;
   }
 
   /** Permits that an earlier life of the counter gave and that may be out. */
-  strayAt(now: number): BucketTerms {
+  strayAt(now: number): RateLimit {
     if (!this.stray || now >= this.stray.until) return NO_SHARE;
     return {perSecond: 0, depth: this.stray.depth};
   }
 
-  tell(terms: BucketTerms, number: number): void {
+  tell(terms: RateLimit, number: number): void {
     this.lists.push({number, terms});
     this.inUse = greater(this.inUse, terms);
     this.isNews = false;
--- a/src/services/account/common/token_bucket.ts
+++ b/src/services/account/common/token_bucket.ts
@@ -1,5 +1,5 @@
 /** How fast tokens come, and how many can wait. */
-export interface BucketTerms {
+export interface RateLimit {
   /** Tokens a second. */
   readonly perSecond: number;
   readonly depth: number;
@@ -11,14 +11,14 @@
 
   /** @param now On the owner's clock, in milliseconds, as everywhere here. */
   constructor(
-    private currentTerms: BucketTerms,
+    private currentTerms: RateLimit,
     private tokens: number,
     now: number,
   ) {
     this.filledAt = now;
   }
 
-  get terms(): BucketTerms {
+  get rateLimit(): RateLimit {
     return this.currentTerms;
   }
 
@@ -29,7 +29,7 @@
   }
 
   /** Changes the terms; what waits beyond the new depth is lost. */
-  setTerms(terms: BucketTerms, now: number): void {
+  setRateLimit(terms: RateLimit, now: number): void {
     this.fill(now);
     this.currentTerms = terms;
     this.tokens = Math.min(this.tokens, terms.depth);
--- a/src/services/account/node/account_limits.ts
+++ b/src/services/account/node/account_limits.ts
@@ -4,14 +4,14 @@
 import type {AccountEntry, CounterEntry} from '../../../schema/generated/fleet';
 import type {
   GrantedPermits,
-  PermitBook,
+  PermitCache,
   PermitDecision,
-  PermitKnowledge,
+  PermitLookup,
   RefusedPermit,
-} from '../common/counting';
+} from '../common/permit_counting';
 import {PermitQuestion} from '../common/permit_question';
-import type {Counters} from './counter_directory';
-import type {OperationLimits, OverLimit} from './operation_limits';
+import type {CounterClient} from './counter_directory';
+import type {OperationLimits, LimitRefusal} from './operation_limits';
 
 /**
  * A link that is being opened is waited for so long, in milliseconds, before a
@@ -35,7 +35,7 @@
   readonly at: number;
 }
 
-type Asking = Extract<PermitKnowledge, {kind: 'ask'}>;
+type Asking = Extract<PermitLookup, {kind: 'ask'}>;
 
 /** A decision, and since when it counts. */
 interface Decided {
@@ -54,8 +54,8 @@
   private readonly granters = new Map<string, string>();
 
   constructor(
-    private readonly book: PermitBook,
-    private readonly counters: Counters,
+    private readonly book: PermitCache,
+    private readonly counters: CounterClient,
     private readonly clock: Clock,
   ) {}
 
@@ -70,9 +70,9 @@
     }
   }
 
-  *admit(account: string, deadline: number): Task<Result<void, OverLimit>> {
+  *admit(account: string, deadline: number): Task<Result<void, LimitRefusal>> {
     if (!this.limited.has(account)) return ok(undefined);
-    const known = this.book.look(account, this.clock.now());
+    const known = this.book.tryTake(account, this.clock.now());
     switch (known.kind) {
       case 'taken':
         return ok(undefined);
@@ -85,21 +85,21 @@
 
   refund(account: string): void {
     if (!this.limited.has(account)) return;
-    if (this.book.takeBack(account, this.clock.now())) return;
+    if (this.book.returnPermit(account, this.clock.now())) return;
     const granter = this.granters.get(account);
-    if (granter !== undefined) this.counters.giveBack(granter, account, 1);
+    if (granter !== undefined) this.counters.returnPermits(granter, account, 1);
   }
 
   private *askFor(
     account: string,
     asking: Asking,
     deadline: number,
-  ): Task<Result<void, OverLimit>> {
+  ): Task<Result<void, LimitRefusal>> {
     const decided = yield* this.decide(account, asking, deadline);
     if (!decided) return this.refuseWithoutCounter(account);
     const {decision, askedAt} = decided;
     const now = this.clock.now();
-    this.book.onAnswered(account, askedAt, decision, now);
+    this.book.onDidReceiveDecision(account, askedAt, decision, now);
     if (decision.kind === 'refused') {
       return this.refuse(account, decision.retryAfterMs);
     }
@@ -126,7 +126,10 @@
     while (clock.now() < deadline && question.mayGoOn) {
       const askedAt = clock.now();
       const mayWait = askedAt - since < CONNECT_WAIT_MS;
-      const counter = counters.choose(account, {passed, mayWait});
+      const counter = counters.choose(account, {
+        excluded: passed,
+        canWaitForLink: mayWait,
+      });
       if (counter === undefined) {
         if (question.refusalAt(askedAt)) break;
         yield* pause(passed.size > 0 ? ROUND_MS : LOOK_MS);
@@ -157,7 +160,7 @@
   ): Task<PermitDecision | undefined> {
     const {instance} = counter;
     const askedAt = this.clock.now();
-    const asked = this.counters.ask(counter, account, wanted);
+    const asked = this.counters.requestPermits(counter, account, wanted);
     const done = yield* settled(asked);
     const decision = 'value' in done ? done.value : undefined;
     const answer = describe(decision);
@@ -165,7 +168,7 @@
     this.words.set(account, {counter: instance, answer, at});
     if (decision?.kind !== 'granted') return decision;
     if (at > askedAt + decision.validMs) {
-      this.counters.giveBack(instance, account, decision.count);
+      this.counters.returnPermits(instance, account, decision.count);
       return undefined;
     }
     this.granters.set(account, instance);
@@ -175,13 +178,13 @@
   private refuse(
     account: string,
     retryAfterMs: number,
-  ): Result<void, OverLimit> {
+  ): Result<void, LimitRefusal> {
     const whole = Math.ceil(retryAfterMs);
     const detail = this.detailOf(account);
     return err({reason: 'over its limit', retryAfterMs: whole, detail});
   }
 
-  private refuseWithoutCounter(account: string): Result<void, OverLimit> {
+  private refuseWithoutCounter(account: string): Result<void, LimitRefusal> {
     const detail = this.detailOf(account);
     const retryAfterMs = NO_COUNTER_RETRY_MS;
     return err({reason: 'no counter', retryAfterMs, detail});
--- a/src/services/account/node/counter_directory.ts
+++ b/src/services/account/node/counter_directory.ts
@@ -4,31 +4,34 @@
 import {
   chooseCounter,
   rankCounters,
-  type CounterRegion,
+  type ProxyRegion,
   type CounterState,
-  type CounterWish,
+  type CounterChoiceOptions,
 } from '../common/counter_choice';
-import type {PermitDecision} from '../common/counting';
+import type {PermitDecision} from '../common/permit_counting';
 import {CounterLink} from './counter_link';
 import type {LocalCounter} from './local_counter';
 
 /** Where this proxy is. */
-export interface CounterSurroundings extends CounterRegion {
+export interface LocalProxy extends ProxyRegion {
   readonly instance: string;
 }
 
 /** The counters that a proxy can ask. */
-export interface Counters {
+export interface CounterClient {
   /** Who is asked next about an account; undefined for nobody. */
-  choose(account: string, wish: CounterWish): CounterEntry | 'soon' | undefined;
+  choose(
+    account: string,
+    wish: CounterChoiceOptions,
+  ): CounterEntry | 'soon' | undefined;
   /** Asks one that was chosen; undefined where it does not answer in time. */
-  ask(
+  requestPermits(
     counter: CounterEntry,
     account: string,
     wanted: number,
   ): Promise<PermitDecision | undefined>;
   /** Operations that a counter granted did not run. */
-  giveBack(instance: string, account: string, count: number): void;
+  returnPermits(instance: string, account: string, count: number): void;
 }
 
 /**
@@ -44,14 +47,14 @@
 const MOST_RANKS = 4_096;
 
 /** The counters that this proxy asks, and its links to them. */
-export class CounterDirectory implements Counters {
+export class CounterDirectory implements CounterClient {
   private counters: readonly CounterEntry[] = [];
   private readonly ranked = new Map<string, CounterEntry[]>();
   private readonly links = new Map<string, CounterLink>();
   private readonly paused = new Set<string>();
 
   constructor(
-    private readonly here: CounterSurroundings,
+    private readonly here: LocalProxy,
     private readonly local: LocalCounter,
     private readonly log: Log,
     private readonly signal: AbortSignal,
@@ -74,7 +77,7 @@
 
   choose(
     account: string,
-    wish: CounterWish,
+    wish: CounterChoiceOptions,
   ): CounterEntry | 'soon' | undefined {
     return chooseCounter(
       this.rank(account),
@@ -83,13 +86,13 @@
     );
   }
 
-  ask(
+  requestPermits(
     {instance, address, site}: CounterEntry,
     account: string,
     wanted: number,
   ): Promise<PermitDecision | undefined> {
     if (instance === this.here.instance) {
-      return Promise.resolve(this.local.ask(account, wanted));
+      return Promise.resolve(this.local.requestPermits(account, wanted));
     }
     const link = this.links.get(address);
     if (!link) return Promise.resolve(undefined);
@@ -97,9 +100,9 @@
     return link.ask(account, wanted, timeMs);
   }
 
-  giveBack(instance: string, account: string, count: number): void {
+  returnPermits(instance: string, account: string, count: number): void {
     if (instance === this.here.instance) {
-      return this.local.takeBack(account, count);
+      return this.local.returnPermits(account, count);
     }
     const entry = this.counters.find(other => other.instance === instance);
     if (entry) this.links.get(entry.address)?.giveBack(account, count);
--- a/src/services/account/node/counter_link.ts
+++ b/src/services/account/node/counter_link.ts
@@ -7,7 +7,7 @@
   PermitReply,
 } from '../../../schema/generated/account';
 import type {CounterState} from '../common/counter_choice';
-import type {PermitDecision} from '../common/counting';
+import type {PermitDecision} from '../common/permit_counting';
 import {decodeDecision} from '../common/permit_messages';
 import {COUNTER_PROTOCOL} from './counter_protocol';
 
--- a/src/services/account/node/counter_server.ts
+++ b/src/services/account/node/counter_server.ts
@@ -38,13 +38,16 @@
     switch (body?.$case) {
       case 'permit': {
         const {number, account, wanted} = body.value;
-        const decision = this.counter.ask(account, Math.max(1, wanted));
+        const decision = this.counter.requestPermits(
+          account,
+          Math.max(1, wanted),
+        );
         const value = encodeDecision(number, decision);
         return link.write({body: {$case: 'reply', value}});
       }
       case 'returned': {
         const {account, count} = body.value;
-        return this.counter.takeBack(account, count);
+        return this.counter.returnPermits(account, count);
       }
     }
   }
--- a/src/services/account/node/local_counter.ts
+++ b/src/services/account/node/local_counter.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '../../../base/common/clock';
-import type {PermitCounter, PermitDecision} from '../common/counting';
+import type {PermitCounter, PermitDecision} from '../common/permit_counting';
 import {PermitTotals} from '../common/permit_totals';
 
 /** This proxy as a counter, for other proxies and for its own callers. */
@@ -7,23 +7,26 @@
   private readonly totals = new PermitTotals();
 
   constructor(
-    private readonly counter: Pick<PermitCounter, 'ask' | 'takeBack'>,
+    private readonly counter: Pick<
+      PermitCounter,
+      'requestPermits' | 'returnPermits'
+    >,
     private readonly clock: Clock,
   ) {}
 
-  ask(account: string, wanted: number): PermitDecision {
-    const decision = this.counter.ask(account, wanted);
+  requestPermits(account: string, wanted: number): PermitDecision {
+    const decision = this.counter.requestPermits(account, wanted);
     this.totals.onDecided(decision, this.clock.now());
     return decision;
   }
 
-  takeBack(account: string, count: number): void {
-    this.counter.takeBack(account, count);
+  returnPermits(account: string, count: number): void {
+    this.counter.returnPermits(account, count);
     this.totals.onReturned(count);
   }
 
   /** Its metrics as text, in the usual format. */
-  render(): string {
+  renderMetrics(): string {
     const {granted, refused, returned, waitedFor} = this.totals;
     const out = this.totals.out(this.clock.now());
     return [
--- a/src/services/account/test/common/catalog_lease.test.ts
+++ b/src/services/account/test/common/catalog_lease.test.ts
@@ -67,7 +67,7 @@
     const told = this.random.integer(question.newestThen, this.newest);
     const isLost = this.random.integer(0, 4) === 0;
     if (!isLost) this.held = Math.max(this.held, told);
-    if (this.held >= told) this.lease.extend(question.askedAt);
+    if (this.held >= told) this.lease.extendLease(question.askedAt);
   }
 }
 
@@ -90,7 +90,7 @@
   // until 0.6 of the bound their requests are owed an answer.
   const clock = new ManualClock();
   const lease = new CatalogLease(BOUND_MS, clock);
-  lease.extend(clock.now());
+  lease.extendLease(clock.now());
   clock.advance(BOUND_MS * 0.7);
   expect(lease.isHeld).toBe(true);
   clock.advance(BOUND_MS * 0.2);
--- a/src/services/account/test/common/counter_choice.test.ts
+++ b/src/services/account/test/common/counter_choice.test.ts
@@ -4,7 +4,7 @@
   rankCounters,
   type CounterState,
 } from '../../common/counter_choice';
-import {makeCounter} from './counting_fakes';
+import {makeCounter} from './permit_counting_fakes';
 
 const regionOf = (site: string) => site.split('-')[0]!;
 const here = {site: 'north-1', regionOf};
@@ -58,7 +58,7 @@
         looked.push(instance);
         return states[instance] ?? 'closed';
       },
-      {passed: new Set(passed), mayWait},
+      {excluded: new Set(passed), canWaitForLink: mayWait},
     );
     const name = chosen === 'soon' ? chosen : chosen?.instance;
     return {chosen: name, looked};
--- a/src/services/account/test/common/counter_plan.test.ts
+++ b/src/services/account/test/common/counter_plan.test.ts
@@ -1,7 +1,7 @@
 import {beforeEach, describe, expect, it} from 'vitest';
 import type {CounterEntry} from '../../../../schema/generated/fleet';
 import {CounterPlanner, type CounterCandidate} from '../../common/counter_plan';
-import {makeCounter} from './counting_fakes';
+import {makeCounter} from './permit_counting_fakes';
 
 /** Longer than a leader waits for its proxies, in milliseconds. */
 const SETTLED_MS = 2_000;
@@ -27,7 +27,7 @@
   const need = {
     hasLimits,
     regionOf,
-    isFree: (instance: string) => free.has(instance),
+    canRemove: (instance: string) => free.has(instance),
   };
   const plan = planner.plan(need, names.map(makeProxy), counters, now);
   if (plan) {
@@ -147,7 +147,7 @@
     // A counter's machine comes back at another address. Proxies that know the
     // old one only would ask nobody, and refuse callers of its accounts.
     const elsewhere = {...makeProxy(lost), address: 'elsewhere:1'};
-    const need = {hasLimits, regionOf, isFree: () => false};
+    const need = {hasLimits, regionOf, canRemove: () => false};
     const proxies = [...left.map(makeProxy), elsewhere];
     const plan = planner.plan(need, proxies, counters, SETTLED_MS + 200);
     const entry = plan?.counters.find(({instance}) => instance === lost);
--- a/src/services/account/test/common/held_permits.test.ts
+++ b/src/services/account/test/common/held_permits.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import type {PermitDecision} from '../../common/counting';
+import type {PermitDecision} from '../../common/permit_counting';
 import {HeldPermits} from '../../common/held_permits';
 import {PermitQuestion} from '../../common/permit_question';
 
@@ -16,14 +16,14 @@
 /** Takes permits until a counter would have to be asked. */
 function takeAll(book: HeldPermits, now: number): number {
   let count = 0;
-  while (book.look(ACCOUNT, now).kind === 'taken') count++;
+  while (book.tryTake(ACCOUNT, now).kind === 'taken') count++;
   return count;
 }
 
 describe('permits in hand', () => {
   it('are those beyond the first', () => {
     const book = new HeldPermits();
-    book.onAnswered(ACCOUNT, 0, granted(4), 20);
+    book.onDidReceiveDecision(ACCOUNT, 0, granted(4), 20);
     expect(takeAll(book, 20)).toBe(3);
   });
 
@@ -31,41 +31,41 @@
     // The counter fills its bucket again then. Used later, they would run
     // twice.
     const book = new HeldPermits();
-    book.onAnswered(ACCOUNT, 0, granted(4), 60);
-    expect(book.look(ACCOUNT, 499).kind).toBe('taken');
-    expect(book.look(ACCOUNT, 500).kind).toBe('ask');
+    book.onDidReceiveDecision(ACCOUNT, 0, granted(4), 60);
+    expect(book.tryTake(ACCOUNT, 499).kind).toBe('taken');
+    expect(book.tryTake(ACCOUNT, 500).kind).toBe('ask');
   });
 
   it('are used in the order in which they end', () => {
     const book = new HeldPermits();
-    book.onAnswered(ACCOUNT, 200, granted(2), 210);
-    book.onAnswered(ACCOUNT, 0, granted(2), 220);
-    expect(book.look(ACCOUNT, 480).kind).toBe('taken');
-    expect(book.look(ACCOUNT, 510).kind).toBe('taken');
+    book.onDidReceiveDecision(ACCOUNT, 200, granted(2), 210);
+    book.onDidReceiveDecision(ACCOUNT, 0, granted(2), 220);
+    expect(book.tryTake(ACCOUNT, 480).kind).toBe('taken');
+    expect(book.tryTake(ACCOUNT, 510).kind).toBe('taken');
   });
 
   it('come back where the operation did not run, for the same time', () => {
     const book = new HeldPermits();
-    book.onAnswered(ACCOUNT, 0, granted(2), 10);
+    book.onDidReceiveDecision(ACCOUNT, 0, granted(2), 10);
     expect(takeAll(book, 10)).toBe(1);
-    expect(book.takeBack(ACCOUNT, 100)).toBe(true);
-    expect(book.takeBack(ACCOUNT, 100)).toBe(false);
+    expect(book.returnPermit(ACCOUNT, 100)).toBe(true);
+    expect(book.returnPermit(ACCOUNT, 100)).toBe(false);
     expect(takeAll(book, 499)).toBe(1);
-    expect(book.takeBack(ACCOUNT, 500)).toBe(false);
+    expect(book.returnPermit(ACCOUNT, 500)).toBe(false);
   });
 
   it('are asked for as many as are used while they are valid', () => {
     const book = new HeldPermits();
     for (let now = 0; now < 10_000; now += 1_000) {
-      const known = book.look(ACCOUNT, now);
+      const known = book.tryTake(ACCOUNT, now);
       expect(known).toMatchObject({kind: 'ask', wanted: 1});
     }
     let most = 0;
     for (let now = 10_000; now < 20_000; now += 20) {
-      const known = book.look(ACCOUNT, now);
+      const known = book.tryTake(ACCOUNT, now);
       if (known.kind !== 'ask') continue;
       most = Math.max(most, known.wanted);
-      book.onAnswered(ACCOUNT, now, granted(1), now);
+      book.onDidReceiveDecision(ACCOUNT, now, granted(1), now);
     }
     // 50 a second for half a second, of which a part goes on the way.
     expect(most).toBeGreaterThan(15);
@@ -74,51 +74,51 @@
 
   it('are asked for once at a time', () => {
     const book = new HeldPermits();
-    for (let now = 0; now < 2_000; now += 10) book.look(ACCOUNT, now);
-    expect(book.look(ACCOUNT, 2_000)).toMatchObject({kind: 'ask'});
-    expect(book.look(ACCOUNT, 2_001)).toMatchObject({wanted: 1});
+    for (let now = 0; now < 2_000; now += 10) book.tryTake(ACCOUNT, now);
+    expect(book.tryTake(ACCOUNT, 2_000)).toMatchObject({kind: 'ask'});
+    expect(book.tryTake(ACCOUNT, 2_001)).toMatchObject({wanted: 1});
   });
 });
 
 describe('a refusal', () => {
   it('is remembered until there is room, each with a later time', () => {
     const book = new HeldPermits();
-    book.onAnswered(ACCOUNT, 0, refused(300), 10);
+    book.onDidReceiveDecision(ACCOUNT, 0, refused(300), 10);
     const times: number[] = [];
     for (let count = 0; count < 5; count++) {
-      const known = book.look(ACCOUNT, 100);
+      const known = book.tryTake(ACCOUNT, 100);
       if (known.kind === 'refused') times.push(known.retryAfterMs);
     }
     expect(times.length).toBe(5);
     expect(times[0]).toBeGreaterThanOrEqual(200);
     expect(new Set(times).size).toBe(5);
     expect(times).toEqual([...times].sort((one, two) => one - two));
-    expect(book.look(ACCOUNT, 300).kind).toBe('ask');
+    expect(book.tryTake(ACCOUNT, 300).kind).toBe('ask');
   });
 
   it('is not remembered for long', () => {
     // An operator raises a limit, or callers come elsewhere: a proxy that was
     // told of room in 5 s would refuse callers for whom there is room now.
     const book = new HeldPermits();
-    book.onAnswered(ACCOUNT, 0, refused(5_000), 10);
-    expect(book.look(ACCOUNT, 400).kind).toBe('refused');
-    expect(book.look(ACCOUNT, 600).kind).toBe('ask');
+    book.onDidReceiveDecision(ACCOUNT, 0, refused(5_000), 10);
+    expect(book.tryTake(ACCOUNT, 400).kind).toBe('refused');
+    expect(book.tryTake(ACCOUNT, 600).kind).toBe('ask');
   });
 
   it('ends with the next permit', () => {
     const book = new HeldPermits();
-    book.onAnswered(ACCOUNT, 0, refused(300), 10);
-    book.onAnswered(ACCOUNT, 5, granted(2), 20);
-    expect(book.look(ACCOUNT, 30).kind).toBe('taken');
-    expect(book.look(ACCOUNT, 30).kind).toBe('ask');
+    book.onDidReceiveDecision(ACCOUNT, 0, refused(300), 10);
+    book.onDidReceiveDecision(ACCOUNT, 5, granted(2), 20);
+    expect(book.tryTake(ACCOUNT, 30).kind).toBe('taken');
+    expect(book.tryTake(ACCOUNT, 30).kind).toBe('ask');
   });
 
   it('lets fewer counters be asked for a while', () => {
     const book = new HeldPermits();
-    expect(book.look(ACCOUNT, 0)).toMatchObject({further: 5});
-    book.onAnswered(ACCOUNT, 0, refused(300), 10);
-    expect(book.look(ACCOUNT, 400)).toMatchObject({further: 1});
-    expect(book.look(ACCOUNT, 2_000)).toMatchObject({further: 5});
+    expect(book.tryTake(ACCOUNT, 0)).toMatchObject({further: 5});
+    book.onDidReceiveDecision(ACCOUNT, 0, refused(300), 10);
+    expect(book.tryTake(ACCOUNT, 400)).toMatchObject({further: 1});
+    expect(book.tryTake(ACCOUNT, 2_000)).toMatchObject({further: 5});
   });
 });
 
--- a/src/services/account/test/common/limit_allocator.test.ts
+++ b/src/services/account/test/common/limit_allocator.test.ts
@@ -3,7 +3,7 @@
   AccountShare,
   AccountUse,
 } from '../../../../schema/generated/fleet';
-import {SHARE_LEASE_MS} from '../../common/counting';
+import {SHARE_LEASE_MS} from '../../common/permit_counting';
 import {LimitAllocator} from '../../common/limit_allocator';
 
 const ACCOUNT = 'fern';
@@ -43,19 +43,19 @@
     const share = {account: ACCOUNT, perSecond, depth, tokens: 0};
     const shares = perSecond > 0 ? [share] : [];
     this.numbers.set(counter, 0);
-    this.allocator.onAttached(counter, shares, this.now, this.now);
+    this.allocator.onDidAttach(counter, shares, this.now, this.now);
   }
 
   /** A question of a counter that keeps to all it was told, or to less. */
   ask(counter: string, demand = 0, number = this.numbers.get(counter)!): void {
     const uses: AccountUse[] = [{account: ACCOUNT, run: demand, refused: 0}];
     this.allocator.report(counter, uses, number, this.now);
-    this.allocator.onRenewed(counter, this.now);
+    this.allocator.renewLease(counter, this.now);
   }
 
   /** The share that a counter is told of now; undefined for none. */
   tell(counter: string): AccountShare | undefined {
-    const list = this.allocator.sharesFor(counter, this.now);
+    const list = this.allocator.takeChangedShares(counter, this.now);
     if (!list) return undefined;
     this.numbers.set(counter, list.number);
     this.rates.set(counter, list.shares[0]!.perSecond);
@@ -133,11 +133,11 @@
     const control = makeBusy();
     const before = control.rates.get('a')!;
     control.run(SHARE_LEASE_MS, {b: 50});
-    expect(control.allocator.isFree('a', control.now)).toBe(false);
+    expect(control.allocator.canRemove('a', control.now)).toBe(false);
     control.attach('b');
     expect(control.tell('b')!.perSecond).toBeLessThan(60 - before + 1e-9);
     control.run(2_000, {b: 50});
-    expect(control.allocator.isFree('a', control.now)).toBe(true);
+    expect(control.allocator.canRemove('a', control.now)).toBe(true);
     control.attach('b');
     expect(control.tell('b')!.perSecond).toBeGreaterThan(45);
   });
@@ -151,7 +151,7 @@
       control.allocator.report('b', [], 1, control.now);
       control.tell('b');
     }
-    expect(control.allocator.isFree('a', control.now)).toBe(false);
+    expect(control.allocator.canRemove('a', control.now)).toBe(false);
   });
 
   it('withholds what counters may have that did not come yet', () => {
@@ -213,9 +213,9 @@
     control.allocator.setAccounts([], control.now);
     control.name([], ['a', 'b']);
     control.run(SHARE_LEASE_MS - 1_000, {a: 0, b: 0});
-    expect(control.allocator.isFree('a', control.now)).toBe(false);
+    expect(control.allocator.canRemove('a', control.now)).toBe(false);
     control.run(6_000, {a: 0, b: 0});
-    expect(control.allocator.isFree('a', control.now)).toBe(true);
+    expect(control.allocator.canRemove('a', control.now)).toBe(true);
   });
 
   it('gives a retiring counter nothing new, and frees it', () => {
@@ -223,7 +223,7 @@
     control.attach('c');
     control.name(['b', 'c'], ['a']);
     control.run(5_000, {a: 0, b: 4, c: 40});
-    expect(control.allocator.isFree('a', control.now)).toBe(true);
+    expect(control.allocator.canRemove('a', control.now)).toBe(true);
     control.attach('c');
     expect(control.tell('c')!.perSecond).toBeGreaterThan(30);
   });
@@ -286,12 +286,12 @@
 
   it('judges which accounts are close to their limits', () => {
     const control = makeBusy();
-    expect(control.allocator.judge(control.now)).toEqual([]);
+    expect(control.allocator.updateNearLimit(control.now)).toEqual([]);
     control.run(8_000, {a: 70, b: 4});
-    const [close] = control.allocator.judge(control.now);
-    expect(close).toMatchObject({isLimited: true, counters: 2});
+    const [close] = control.allocator.updateNearLimit(control.now);
+    expect(close).toMatchObject({isNearLimit: true, counters: 2});
     control.run(8_000, {a: 10, b: 4});
-    const [again] = control.allocator.judge(control.now);
-    expect(again).toMatchObject({isLimited: false});
+    const [again] = control.allocator.updateNearLimit(control.now);
+    expect(again).toMatchObject({isNearLimit: false});
   });
 });
--- a/src/services/account/test/common/limit_chaos.test.ts
+++ b/src/services/account/test/common/limit_chaos.test.ts
@@ -1,6 +1,6 @@
 import {expect, it} from 'vitest';
 import {SeededRandom} from '../../../../base/common/random';
-import {SHARE_LEASE_MS, shareLeaseMs} from '../../common/counting';
+import {SHARE_LEASE_MS, shareLeaseMs} from '../../common/permit_counting';
 import {LimitChaos} from './limit_chaos';
 import {LimitWorld} from './limit_world';
 
--- a/src/services/account/test/common/limit_chaos.ts
+++ b/src/services/account/test/common/limit_chaos.ts
@@ -1,6 +1,6 @@
 import type {SeededRandom} from '../../../../base/common/random';
 import type {AccountLimit} from '../../../../schema/generated/fleet';
-import {sharedTerms} from '../../common/enforcement';
+import {sharedTerms} from '../../common/limit_precision';
 import {PRECISION} from './limit_fleet';
 import {allowed, LimitWorld, type Callers} from './limit_world';
 
--- a/src/services/account/test/common/limit_fleet.ts
+++ b/src/services/account/test/common/limit_fleet.ts
@@ -3,11 +3,11 @@
   AccountEntry,
   CounterEntry,
 } from '../../../../schema/generated/fleet';
-import {SHARE_LEASE_MS} from '../../common/counting';
+import {SHARE_LEASE_MS} from '../../common/permit_counting';
 import {AccountCounter} from '../../common/account_counter';
 import {LimitAllocator} from '../../common/limit_allocator';
 import {NO_SHARE, plus} from '../../common/share_terms';
-import type {BucketTerms} from '../../common/token_bucket';
+import type {RateLimit} from '../../common/token_bucket';
 import {Way, type Timeline} from './limit_timeline';
 
 const RENEW_MS = 400;
@@ -59,7 +59,7 @@
   }
 
   extend(askedAt: number): void {
-    this.counter.extend(askedAt);
+    this.counter.extendLease(askedAt);
     const until = askedAt + this.fleet.leaseMs;
     this.leasedUntil = Math.max(this.leasedUntil, until);
   }
@@ -139,7 +139,7 @@
   dropFree(): void {
     const now = this.timeline.now();
     const kept = this.list.filter(({instance, retiring}) => {
-      return !retiring || !this.leader?.allocator.isFree(instance, now);
+      return !retiring || !this.leader?.allocator.canRemove(instance, now);
     });
     if (kept.length === this.list.length) return;
     this.list = kept;
@@ -190,12 +190,12 @@
   }
 
   /** What all counters may run together now, by account. */
-  heldNow(): Map<string, BucketTerms> {
+  heldNow(): Map<string, RateLimit> {
     const now = this.timeline.now();
-    const sums = new Map<string, BucketTerms>();
+    const sums = new Map<string, RateLimit>();
     for (const {counter, isDown, leasedUntil} of this.nodes) {
       if (isDown || now >= leasedUntil) continue;
-      for (const {account, ...share} of counter.held) {
+      for (const {account, ...share} of counter.heldShares) {
         sums.set(account, plus(sums.get(account) ?? NO_SHARE, share));
       }
     }
@@ -222,12 +222,12 @@
     const down = new Way(this.timeline);
     const stream = {leader, up, down};
     node.stream = stream;
-    const {held} = node.counter;
+    const {heldShares: held} = node.counter;
     this.send(up, node, () => {
       leader.attached.set(node.name, stream);
       const now = this.timeline.now();
       const idleSince = now - node.counter.idleMs;
-      leader.allocator.onAttached(node.name, held, idleSince, now);
+      leader.allocator.onDidAttach(node.name, held, idleSince, now);
       this.tell(leader, node);
     });
   }
@@ -235,7 +235,7 @@
   private renew(node: CountingNode, {leader, up, down}: Stream): void {
     const {counter, name} = node;
     const uses = counter.takeReport();
-    const {sharesNumber} = counter;
+    const {shareListNumber: sharesNumber} = counter;
     const askedAt = this.timeline.now();
     this.send(up, node, () => {
       leader.allocator.report(name, uses, sharesNumber, this.timeline.now());
@@ -243,21 +243,24 @@
       if (leader.isDeposed) return;
       this.timeline.after(this.random.integer(1, MOST_WAY_MS), () => {
         if (leader.isDeposed || !up.isOpen) return;
-        leader.allocator.onRenewed(name, this.timeline.now());
+        leader.allocator.renewLease(name, this.timeline.now());
         this.send(down, node, () => node.extend(askedAt));
       });
     });
   }
 
   private push(leader: Leader): void {
-    leader.allocator.judge(this.timeline.now());
+    leader.allocator.updateNearLimit(this.timeline.now());
     for (const node of this.nodes) this.tell(leader, node);
   }
 
   private tell(leader: Leader, node: CountingNode): void {
     const stream = leader.attached.get(node.name);
     if (!stream) return;
-    const shares = leader.allocator.sharesFor(node.name, this.timeline.now());
+    const shares = leader.allocator.takeChangedShares(
+      node.name,
+      this.timeline.now(),
+    );
     const {counter} = node;
     if (shares) this.send(stream.down, node, () => counter.setShares(shares));
   }
--- a/src/services/account/test/common/limit_world.ts
+++ b/src/services/account/test/common/limit_world.ts
@@ -1,6 +1,6 @@
 import type {SeededRandom} from '../../../../base/common/random';
 import type {AccountLimit} from '../../../../schema/generated/fleet';
-import type {PermitDecision} from '../../common/counting';
+import type {PermitDecision} from '../../common/permit_counting';
 import {HeldPermits} from '../../common/held_permits';
 import {PermitQuestion} from '../../common/permit_question';
 import {CountingFleet, PRECISION, type CountingNode} from './limit_fleet';
@@ -149,7 +149,7 @@
   ask(callers: Callers, proxy: FirstProxy): void {
     callers.asked++;
     const now = this.timeline.now();
-    const knowledge = proxy.book.look(callers.account, now);
+    const knowledge = proxy.book.tryTake(callers.account, now);
     if (knowledge.kind === 'taken') callers.ran.push(now);
     if (knowledge.kind === 'refused') {
       this.refuse(callers, proxy, knowledge.retryAfterMs);
@@ -195,7 +195,7 @@
     }
     this.timeline.after(this.wayTo(proxy, node), () => {
       const {account} = question.callers;
-      const decision = node.counter.ask(account, question.wanted);
+      const decision = node.counter.requestPermits(account, question.wanted);
       if (this.random.fraction() < this.lostPart) {
         this.timeline.after(SILENT_MS, () => this.askNext(question));
         return;
@@ -214,7 +214,7 @@
     const {callers, proxy} = question;
     const now = this.timeline.now();
     if (decision.kind === 'granted') {
-      proxy.book.onAnswered(callers.account, askedAt, decision, now);
+      proxy.book.onDidReceiveDecision(callers.account, askedAt, decision, now);
       const run = () => callers.ran.push(this.timeline.now());
       if (decision.waitMs === 0) run();
       else this.timeline.after(decision.waitMs, run);
@@ -233,7 +233,7 @@
       callers.lost++;
       return;
     }
-    proxy.book.onAnswered(callers.account, now, decision, now);
+    proxy.book.onDidReceiveDecision(callers.account, now, decision, now);
     this.refuse(callers, proxy, decision.retryAfterMs);
   }
 
--- a/src/services/account/test/common/counting_fakes.ts
+++ b/src/services/account/test/common/permit_counting_fakes.ts
@@ -9,7 +9,7 @@
   PermitCounter,
   PermitDecision,
   ShareAllocator,
-} from '../../common/counting';
+} from '../../common/permit_counting';
 
 /** A share of an account. */
 export function makeShare(account: string, perSecond = 5): AccountShare {
@@ -36,7 +36,7 @@
 export class FakeAllocator implements ShareAllocator {
   readonly calls: string[] = [];
   readonly lists = new Map<string, AccountShares>();
-  readonly free = new Set<string>();
+  readonly removable = new Set<string>();
 
   setAccounts(): void {}
 
@@ -45,7 +45,7 @@
     this.calls.push(`counters ${names.join(' ')}`);
   }
 
-  onAttached(counter: string, shares: readonly AccountShare[]): void {
+  onDidAttach(counter: string, shares: readonly AccountShare[]): void {
     const held = shares.map(({account}) => account).join(' ');
     this.calls.push(`attached ${counter} with ${held || 'nothing'}`);
   }
@@ -63,35 +63,35 @@
     }
   }
 
-  onRenewed(counter: string): void {
+  renewLease(counter: string): void {
     this.calls.push(`renewed ${counter}`);
   }
 
-  sharesFor(counter: string): AccountShares | undefined {
+  takeChangedShares(counter: string): AccountShares | undefined {
     const list = this.lists.get(counter);
     this.lists.delete(counter);
     return list;
   }
 
-  judge(): [] {
+  updateNearLimit(): [] {
     return [];
   }
 
-  isFree(counter: string): boolean {
-    return this.free.has(counter);
+  canRemove(counter: string): boolean {
+    return this.removable.has(counter);
   }
 }
 
 /** Notes what control tells it, and decides as a test says. */
 export class FakeCounter implements PermitCounter {
   readonly idleMs = 0;
-  held: AccountShare[] = [];
-  sharesNumber = 0;
+  heldShares: AccountShare[] = [];
+  shareListNumber = 0;
   uses: AccountUse[] = [];
-  extensions = 0;
-  detachments = 0;
-  readonly asked: string[] = [];
-  readonly takenBack: string[] = [];
+  leaseExtensionCount = 0;
+  detachCount = 0;
+  readonly requests: string[] = [];
+  readonly returnedPermits: string[] = [];
   decision: PermitDecision = {
     kind: 'granted',
     count: 1,
@@ -102,26 +102,26 @@
   setAccounts(): void {}
 
   setShares({shares, number}: AccountShares): void {
-    this.held = shares;
-    this.sharesNumber = number;
+    this.heldShares = shares;
+    this.shareListNumber = number;
   }
 
-  extend(): void {
-    this.extensions++;
+  extendLease(): void {
+    this.leaseExtensionCount++;
   }
 
   onDidDetach(): void {
-    this.detachments++;
-    this.sharesNumber = 0;
+    this.detachCount++;
+    this.shareListNumber = 0;
   }
 
-  ask(account: string, wanted: number): PermitDecision {
-    this.asked.push(`${account} ${wanted}`);
+  requestPermits(account: string, wanted: number): PermitDecision {
+    this.requests.push(`${account} ${wanted}`);
     return this.decision;
   }
 
-  takeBack(account: string, count: number): void {
-    this.takenBack.push(`${account} ${count}`);
+  returnPermits(account: string, count: number): void {
+    this.returnedPermits.push(`${account} ${count}`);
   }
 
   takeReport(): AccountUse[] {
--- a/src/services/account/test/node/counter_links.test.ts
+++ b/src/services/account/test/node/counter_links.test.ts
@@ -14,8 +14,12 @@
 import {CounterDirectory} from '../../node/counter_directory';
 import {CounterServer} from '../../node/counter_server';
 import {LocalCounter} from '../../node/local_counter';
-import type {OverLimit} from '../../node/operation_limits';
-import {FakeCounter, makeCounter, makeLimited} from '../common/counting_fakes';
+import type {LimitRefusal} from '../../node/operation_limits';
+import {
+  FakeCounter,
+  makeCounter,
+  makeLimited,
+} from '../common/permit_counting_fakes';
 
 const clock = new MonotonicClock();
 
@@ -109,7 +113,7 @@
 /** Asks for one operation; what came of it, and how long that took. */
 async function admit(account = 'fern', timeMs = 400) {
   const startedAt = clock.now();
-  let outcome: Result<void, OverLimit> | undefined;
+  let outcome: Result<void, LimitRefusal> | undefined;
   await startTask('admission', function* () {
     outcome = yield* limits.admit(account, startedAt + timeMs);
   });
@@ -121,8 +125,8 @@
 async function firstAndSecond(): Promise<[TestCounter, TestCounter]> {
   await admit();
   const [one, other] = near as [TestCounter, TestCounter];
-  const isOne = one.counter.asked.length > 0;
-  for (const {counter} of near) counter.asked.length = 0;
+  const isOne = one.counter.requests.length > 0;
+  for (const {counter} of near) counter.requests.length = 0;
   return isOne ? [one, other] : [other, one];
 }
 
@@ -130,21 +134,21 @@
   it('asks one counter of its region, and no other', async () => {
     const {refusal} = await admit();
     expect(refusal).toBeUndefined();
-    const asked = [...near, far].map(({counter}) => counter.asked.length);
+    const asked = [...near, far].map(({counter}) => counter.requests.length);
     expect(asked.sort()).toEqual([0, 0, 1]);
-    expect(far.counter.asked).toEqual([]);
+    expect(far.counter.requests).toEqual([]);
   });
 
   it('asks nobody where the account has no limit', async () => {
     expect((await admit('oak')).refusal).toBeUndefined();
     expect((await admit('elm')).refusal).toBeUndefined();
-    expect(near.flatMap(({counter}) => counter.asked)).toEqual([]);
+    expect(near.flatMap(({counter}) => counter.requests)).toEqual([]);
   });
 
   it('needs no message where its proxy is the counter', async () => {
     directory.setCounters([makeCounter('p1', {site: 'north'})]);
     expect((await admit()).refusal).toBeUndefined();
-    expect(own.asked).toHaveLength(1);
+    expect(own.requests).toHaveLength(1);
   });
 
   it('waits for a token that comes soon', async () => {
@@ -162,7 +166,7 @@
     const [first, second] = await firstAndSecond();
     first.counter.decision = {kind: 'refused', retryAfterMs: 170};
     expect((await admit()).refusal).toBeUndefined();
-    expect(second.counter.asked).toHaveLength(1);
+    expect(second.counter.requests).toHaveLength(1);
   });
 
   it('is refused with the earliest time and who decided', async () => {
@@ -178,7 +182,7 @@
     expect(refusal?.detail).toContain('counter=s1 answer="room in 2000 ms"');
     // Until then it is refused without a message.
     await admit();
-    expect(first.counter.asked).toHaveLength(1);
+    expect(first.counter.requests).toHaveLength(1);
   });
 
   it('gives a permit back that was not used', async () => {
@@ -186,7 +190,7 @@
     await admit();
     limits.refund('fern');
     await pause(50);
-    expect(first.counter.takenBack).toEqual(['fern 1']);
+    expect(first.counter.returnedPermits).toEqual(['fern 1']);
   });
 });
 
@@ -199,16 +203,16 @@
     const {refusal, tookMs} = await admit();
     expect(refusal).toBeUndefined();
     expect(tookMs).toBeLessThan(200);
-    expect(second.counter.asked).toHaveLength(1);
+    expect(second.counter.requests).toHaveLength(1);
     const next = await admit();
     expect(next.refusal).toBeUndefined();
     expect(next.tookMs).toBeLessThan(50);
     // What it grants to nobody goes back, and it is asked again.
     first.server.wake();
     await pause(50);
-    expect(first.counter.takenBack).toEqual(['fern 1']);
+    expect(first.counter.returnedPermits).toEqual(['fern 1']);
     await admit();
-    expect(first.counter.asked).toHaveLength(2);
+    expect(first.counter.requests).toHaveLength(2);
   });
 
   it('died goes to the second', async () => {
@@ -220,7 +224,7 @@
     const {refusal, tookMs} = await admit();
     expect(refusal).toBeUndefined();
     expect(tookMs).toBeLessThan(100);
-    expect(second.counter.asked).toHaveLength(1);
+    expect(second.counter.requests).toHaveLength(1);
   });
 
   it('holds no share of the account goes to the second', async () => {
@@ -230,7 +234,7 @@
     const [first, second] = await firstAndSecond();
     first.counter.decision = {kind: 'unknown account'};
     expect((await admit()).refusal).toBeUndefined();
-    expect(second.counter.asked).toHaveLength(1);
+    expect(second.counter.requests).toHaveLength(1);
   });
 
   it('and second are lost goes to another region', async () => {
@@ -240,7 +244,7 @@
     for (const counter of near) counter.stop.abort();
     await pause(50);
     expect((await admit()).refusal).toBeUndefined();
-    expect(far.counter.asked).toHaveLength(1);
+    expect(far.counter.requests).toHaveLength(1);
   });
 });
 
@@ -255,8 +259,8 @@
   first.server.wake();
   expect((await admitted).refusal).toBeUndefined();
   await pause(30);
-  expect(first.counter.takenBack).toEqual(['fern 3']);
-  expect(second.counter.asked).toHaveLength(1);
+  expect(first.counter.returnedPermits).toEqual(['fern 3']);
+  expect(second.counter.requests).toHaveLength(1);
 });
 
 describe('an operation that no counter decides on', () => {
--- a/src/services/admission/common/class_admission.ts
+++ b/src/services/admission/common/class_admission.ts
@@ -1,7 +1,11 @@
 import type {Clock} from '../../../base/common/clock';
 import type {DatabaseRoute} from '../../../schema/generated/fleet';
-import {servicesByClass} from './class_switch';
-import {patienceByClass, plainPatience, type PatienceTerms} from './patience';
+import {findPrioritizedServices} from './prioritized_services';
+import {
+  computeWaitBudgetByClass,
+  computeWaitBudget,
+  type WaitBudgetInputs,
+} from './wait_budget';
 import {RetryBudget} from './retry_budget';
 import {WorkTimes, type WorkKind} from './work_times';
 
@@ -20,30 +24,30 @@
   setRoutes(
     routes: readonly Pick<DatabaseRoute, 'service' | 'priority'>[],
   ): void {
-    this.services = servicesByClass(routes);
+    this.services = findPrioritizedServices(routes);
     for (const service of this.budgets.keys()) {
       if (!this.services.has(service)) this.budgets.delete(service);
     }
   }
 
-  isOn(service: string): boolean {
+  isEnabled(service: string): boolean {
     return this.services.has(service);
   }
 
   /** How long a request may wait for a place, in milliseconds. */
-  patienceOf(kind: WorkKind, terms: PatienceTerms): number {
-    if (!this.isOn(kind.service)) return plainPatience(terms);
-    return patienceByClass(terms, this.times.mostOf(kind));
+  waitBudgetMs(kind: WorkKind, terms: WaitBudgetInputs): number {
+    if (!this.isEnabled(kind.service)) return computeWaitBudget(terms);
+    return computeWaitBudgetByClass(terms, this.times.upperBoundMs(kind));
   }
 
   /** The same for work that takes no time: nothing waits longer in time. */
-  mostPatience(terms: PatienceTerms): number {
-    return patienceByClass(terms, 0);
+  maxWaitBudgetMs(terms: WaitBudgetInputs): number {
+    return computeWaitBudgetByClass(terms, 0);
   }
 
   /** Takes note of what work took at members, in milliseconds. */
-  onWorked(kind: WorkKind, tookMs: number): void {
-    if (this.isOn(kind.service)) this.times.note(kind, tookMs);
+  onDidWork(kind: WorkKind, tookMs: number): void {
+    if (this.isEnabled(kind.service)) this.times.record(kind, tookMs);
   }
 
   /** Takes note of a request, of which a part may be repeated. */
@@ -52,12 +56,12 @@
   }
 
   /** Whether one more request of a service may be repeated. */
-  mayRepeat(service: string): boolean {
+  canRetry(service: string): boolean {
     return this.budgetOf(service)?.take(this.clock.now()) ?? true;
   }
 
   private budgetOf(service: string): RetryBudget | undefined {
-    if (!this.isOn(service)) return undefined;
+    if (!this.isEnabled(service)) return undefined;
     const known = this.budgets.get(service) ?? new RetryBudget();
     this.budgets.set(service, known);
     return known;
--- a/src/services/admission/common/fair_queue.ts
+++ b/src/services/admission/common/fair_queue.ts
@@ -1,8 +1,8 @@
 import type {CallerName} from '../../../base/common/ids';
-import {LeastParts} from './least_parts';
+import {MinShares} from './min_shares';
 
 /** A request that waits for its turn. */
-export interface Waiting {
+export interface QueuedRequest {
   readonly caller: CallerName;
   /** 0 comes first. */
   readonly priority: number;
@@ -26,15 +26,15 @@
  *
  * By class, each priority that waits gets a least part of the places.
  */
-export class FairQueue<T extends Waiting> {
+export class FairQueue<T extends QueuedRequest> {
   /** By priority; inside, callers in the order in which their turn comes. */
   private readonly levels = new Map<number, Map<CallerName, T[]>>();
-  private readonly parts = new LeastParts();
+  private readonly parts = new MinShares();
   private isByClass = false;
   private count = 0;
 
   /** Whether each priority gets a least part; else the order is strict. */
-  setByClass(isByClass: boolean): void {
+  setMinShares(isByClass: boolean): void {
     if (isByClass === this.isByClass) return;
     this.isByClass = isByClass;
     this.parts.clear();
@@ -66,8 +66,8 @@
   }
 
   /** How many requests that count would be served before one. */
-  aheadOf(
-    {caller, priority}: Pick<Waiting, 'caller' | 'priority'>,
+  countAhead(
+    {caller, priority}: Pick<QueuedRequest, 'caller' | 'priority'>,
     counts: (other: T) => boolean = () => true,
   ): number {
     if (this.count === 0) return 0;
@@ -108,7 +108,7 @@
    * taken leaves the queue, and its caller goes to the end of the turn. What
    * was left for later is not offered again.
    */
-  serve(now: number, take: (item: T) => Verdict): void {
+  offer(now: number, take: (item: T) => Verdict): void {
     for (const isOverdue of [false, true]) {
       const takeDue = (item: T) => {
         return item.dueAt <= now === isOverdue ? take(item) : 'later';
@@ -145,7 +145,7 @@
   }
 
   private notePlaced(priority: number): void {
-    if (this.isByClass) this.parts.onPlaced(priority, this.priorities);
+    if (this.isByClass) this.parts.onServed(priority, this.priorities);
   }
 
   /** Offers requests of one priority until one is taken; undefined if none. */
--- a/src/services/admission/common/least_parts.ts
+++ b/src/services/admission/common/min_shares.ts
@@ -9,7 +9,7 @@
  * alone would let the least urgent starve for as long as urgent work fills the
  * members; with this it goes on at a tenth.
  */
-export class LeastParts {
+export class MinShares {
   /** Places that went to others while a priority waited. */
   private readonly passed = new Map<number, number>();
 
@@ -22,7 +22,7 @@
   }
 
   /** Takes note of a place that was given while priorities wait. */
-  onPlaced(priority: number, waiting: readonly number[]): void {
+  onServed(priority: number, waiting: readonly number[]): void {
     const left = (this.passed.get(priority) ?? 0) - PASSED_PER_TURN;
     this.passed.set(priority, Math.max(0, left));
     for (const other of [...this.passed.keys()]) {
--- a/src/services/admission/common/class_switch.ts
+++ b/src/services/admission/common/prioritized_services.ts
@@ -10,7 +10,7 @@
  * priorities or more, or with the most urgent one beside another. Routes that
  * name no priority all have the same one, and so no classes.
  */
-export function servicesByClass(
+export function findPrioritizedServices(
   routes: readonly Pick<DatabaseRoute, 'service' | 'priority'>[],
 ): ReadonlySet<string> {
   const priorities = new Map<string, Set<number>>();
--- a/src/services/admission/common/patience.ts
+++ b/src/services/admission/common/wait_budget.ts
@@ -1,5 +1,5 @@
 /** How long a request may wait for a place, as a part of its time. */
-export const WAIT_PART = 0.5;
+export const MAX_WAIT_FRACTION = 0.5;
 /**
  * The same by class, where requests wait for longer: below a half, so that a
  * refused caller still has the time for another try.
@@ -16,11 +16,11 @@
 const WAY_MS = 40;
 
 /** What decides how long a request may wait for a place. */
-export interface PatienceTerms {
+export interface WaitBudgetInputs {
   /** What its caller expects of a whole operation; 0: nothing. */
   readonly objectiveMs: number;
   /** What is left of its statement's time, in milliseconds. */
-  readonly timeMs: number;
+  readonly statementTimeLeftMs: number;
   /** What is left until its caller expects the answer, in milliseconds. */
   readonly dueInMs: number;
   /** How long it waited for places before, in milliseconds. */
@@ -34,9 +34,9 @@
  * that is late already gains nothing by asking elsewhere, and would use up its
  * caller's tries: it waits for longer.
  */
-export function plainPatience(terms: PatienceTerms): number {
-  const {objectiveMs, timeMs, dueInMs, waitedMs} = terms;
-  const most = timeMs * WAIT_PART;
+export function computeWaitBudget(terms: WaitBudgetInputs): number {
+  const {objectiveMs, statementTimeLeftMs, dueInMs, waitedMs} = terms;
+  const most = statementTimeLeftMs * MAX_WAIT_FRACTION;
   const isPlain = objectiveMs === 0 || dueInMs <= 0;
   const inAll = isPlain ? most : Math.min(most, objectiveMs * PATIENCE_PART);
   return inAll - waitedMs;
@@ -48,14 +48,14 @@
  *
  * @param workMs What most work of this kind stays within; undefined: unknown.
  */
-export function patienceByClass(
-  terms: PatienceTerms,
+export function computeWaitBudgetByClass(
+  terms: WaitBudgetInputs,
   workMs: number | undefined,
 ): number {
-  const {timeMs, dueInMs, objectiveMs, waitedMs} = terms;
-  const plain = plainPatience(terms);
+  const {statementTimeLeftMs, dueInMs, objectiveMs, waitedMs} = terms;
+  const plain = computeWaitBudget(terms);
   if (objectiveMs === 0 || dueInMs <= 0) return plain;
-  const most = timeMs * WAIT_PART_BY_CLASS - waitedMs;
+  const most = statementTimeLeftMs * WAIT_PART_BY_CLASS - waitedMs;
   const takes = workMs ?? objectiveMs * UNKNOWN_WORK_PART;
   const left = dueInMs - takes - WAY_MS;
   return Math.max(plain, Math.min(most, left));
--- a/src/services/admission/common/work_times.ts
+++ b/src/services/admission/common/work_times.ts
@@ -25,7 +25,7 @@
   private readonly kinds = new Map<string, Times>();
 
   /** Takes note of what a piece of work took, in milliseconds. */
-  note(kind: WorkKind, tookMs: number): void {
+  record(kind: WorkKind, tookMs: number): void {
     const key = keyOf(kind);
     const times = this.kinds.get(key);
     if (!times) {
@@ -40,7 +40,7 @@
   }
 
   /** What most work of a kind stays within; undefined while unknown. */
-  mostOf(kind: WorkKind): number | undefined {
+  upperBoundMs(kind: WorkKind): number | undefined {
     const times = this.kinds.get(keyOf(kind));
     if (!times || times.seen < LEAST_SEEN) return undefined;
     return times.meanMs + times.deviationMs * DEVIATIONS;
--- a/src/services/admission/test/common/fair_queue.test.ts
+++ b/src/services/admission/test/common/fair_queue.test.ts
@@ -1,8 +1,8 @@
 import {describe, expect, it} from 'vitest';
 import {callerName} from '../../../../base/common/ids';
-import {FairQueue, type Waiting} from '../../common/fair_queue';
+import {FairQueue, type QueuedRequest} from '../../common/fair_queue';
 
-interface Item extends Waiting {
+interface Item extends QueuedRequest {
   readonly name: string;
 }
 
@@ -20,7 +20,7 @@
 
 function drain(queue: FairQueue<Item>, most = Infinity): string[] {
   const served: string[] = [];
-  queue.serve(NOW, ({name}) => {
+  queue.offer(NOW, ({name}) => {
     if (served.length >= most) return 'stop';
     served.push(name);
     return 'taken';
@@ -50,7 +50,7 @@
     queue.add(item('write', 'a'));
     queue.add(item('read', 'a'));
     const taken: string[] = [];
-    queue.serve(NOW, ({name}) => {
+    queue.offer(NOW, ({name}) => {
       if (name === 'write') return 'later';
       taken.push(name);
       return 'taken';
@@ -86,8 +86,8 @@
     const queue = new FairQueue<Item>();
     for (let at = 0; at < 10; at++) queue.add(item(`a${at}`, 'a'));
     queue.add(item('first', 'c', 1));
-    expect(queue.aheadOf(item('new', 'b'))).toBe(2);
-    expect(queue.aheadOf(item('more', 'a'))).toBe(11);
+    expect(queue.countAhead(item('new', 'b'))).toBe(2);
+    expect(queue.countAhead(item('more', 'a'))).toBe(11);
   });
 });
 
@@ -107,7 +107,7 @@
     // Urgent work alone would fill the members. The patient kind goes on at
     // one place of ten, which is enough for some of it to be in time.
     const queue = makeCrowd();
-    queue.setByClass(true);
+    queue.setMinShares(true);
     const served = drain(queue, 101);
     const countOf = (name: string) => {
       return served.filter(other => other.startsWith(name)).length;
@@ -119,7 +119,7 @@
 
   it('gives nothing of that away while urgent work takes all in its turn', () => {
     const queue = makeCrowd();
-    queue.setByClass(true);
+    queue.setMinShares(true);
     expect(drain(queue, 9).every(name => name.startsWith('urgent'))).toBe(true);
   });
 
@@ -130,9 +130,9 @@
 
   it('passes a least part on where its priority cannot use the place', () => {
     const queue = makeCrowd();
-    queue.setByClass(true);
+    queue.setMinShares(true);
     const served: string[] = [];
-    queue.serve(NOW, ({name, priority}) => {
+    queue.offer(NOW, ({name, priority}) => {
       if (served.length >= 30) return 'stop';
       if (priority === 2) return 'later';
       served.push(name);
--- a/src/services/admission/test/common/class_switch.test.ts
+++ b/src/services/admission/test/common/prioritized_services.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {ManualClock} from '../../../../base/common/clock';
 import {ClassAdmission} from '../../common/class_admission';
-import {servicesByClass} from '../../common/class_switch';
+import {findPrioritizedServices} from '../../common/prioritized_services';
 
 const routesOf = (service: string, ...priorities: number[]) => {
   return priorities.map(priority => ({service, priority}));
@@ -14,11 +14,13 @@
       ...routesOf('urgent', 0, 2),
       ...routesOf('earlier', 1, 2, 2),
     ];
-    expect([...servicesByClass(routes)]).toEqual(['three', 'urgent']);
+    expect([...findPrioritizedServices(routes)]).toEqual(['three', 'urgent']);
   });
 
   it('is off where routes name no priority', () => {
-    expect([...servicesByClass(routesOf('plain', 0, 0, 0))]).toEqual([]);
+    expect([...findPrioritizedServices(routesOf('plain', 0, 0, 0))]).toEqual(
+      [],
+    );
   });
 });
 
@@ -30,18 +32,25 @@
   const kind = {service: 'books', priority: 1, isTransaction: false};
 
   it('waits for a quarter of the objective, whatever its work takes', () => {
-    for (let count = 0; count < 50; count++) classes.onWorked(kind, 5);
-    const terms = {objectiveMs: 1_000, timeMs: 800, dueInMs: 900, waitedMs: 0};
-    expect(classes.patienceOf(kind, terms)).toBe(250);
-    expect(classes.patienceOf(kind, {...terms, waitedMs: 100})).toBe(150);
-    expect(classes.patienceOf(kind, {...terms, timeMs: 300})).toBe(150);
-    expect(classes.patienceOf(kind, {...terms, dueInMs: -1})).toBe(400);
-    expect(classes.patienceOf(kind, {...terms, objectiveMs: 0})).toBe(400);
+    for (let count = 0; count < 50; count++) classes.onDidWork(kind, 5);
+    const terms = {
+      objectiveMs: 1_000,
+      statementTimeLeftMs: 800,
+      dueInMs: 900,
+      waitedMs: 0,
+    };
+    expect(classes.waitBudgetMs(kind, terms)).toBe(250);
+    expect(classes.waitBudgetMs(kind, {...terms, waitedMs: 100})).toBe(150);
+    expect(
+      classes.waitBudgetMs(kind, {...terms, statementTimeLeftMs: 300}),
+    ).toBe(150);
+    expect(classes.waitBudgetMs(kind, {...terms, dueInMs: -1})).toBe(400);
+    expect(classes.waitBudgetMs(kind, {...terms, objectiveMs: 0})).toBe(400);
   });
 
   it('repeats without a budget', () => {
     for (let count = 0; count < 500; count++) {
-      expect(classes.mayRepeat('books')).toBe(true);
+      expect(classes.canRetry('books')).toBe(true);
     }
   });
 });
--- a/src/services/admission/test/common/patience.test.ts
+++ b/src/services/admission/test/common/wait_budget.test.ts
@@ -14,7 +14,12 @@
 
 /** A request that has just come, with a statement limit of 2.5 s. */
 const fresh = (objectiveMs: number) => {
-  return {objectiveMs, timeMs: 2_500, dueInMs: objectiveMs, waitedMs: 0};
+  return {
+    objectiveMs,
+    statementTimeLeftMs: 2_500,
+    dueInMs: objectiveMs,
+    waitedMs: 0,
+  };
 };
 
 describe('patience by class', () => {
@@ -22,8 +27,8 @@
     // A read that takes 100 ms of 1,000, and 40 ms for its way, is in time
     // after a wait of 860; refused after 250 its caller comes again.
     const classes = makeClasses();
-    for (let count = 0; count < 100; count++) classes.onWorked(kindOf(1), 100);
-    const patience = classes.patienceOf(kindOf(1), fresh(1_000));
+    for (let count = 0; count < 100; count++) classes.onDidWork(kindOf(1), 100);
+    const patience = classes.waitBudgetMs(kindOf(1), fresh(1_000));
     expect(patience).toBeGreaterThan(840);
     expect(patience).toBeLessThanOrEqual(860);
   });
@@ -31,10 +36,10 @@
   it('is longest for the least urgent', () => {
     const classes = makeClasses();
     for (let count = 0; count < 100; count++) {
-      for (const priority of [0, 1, 2]) classes.onWorked(kindOf(priority), 40);
+      for (const priority of [0, 1, 2]) classes.onDidWork(kindOf(priority), 40);
     }
     const waits = [500, 1_000, 2_500].map((objective, priority) => {
-      return classes.patienceOf(kindOf(priority), fresh(objective));
+      return classes.waitBudgetMs(kindOf(priority), fresh(objective));
     });
     expect(waits).toEqual([...waits].sort((a, b) => a - b));
     // Most of the statement's time is left for the work, and for another try.
@@ -44,9 +49,9 @@
   it('shrinks with work that varies', () => {
     const classes = makeClasses();
     for (let count = 0; count < 100; count++) {
-      classes.onWorked(kindOf(1), count % 2 === 0 ? 20 : 180);
+      classes.onDidWork(kindOf(1), count % 2 === 0 ? 20 : 180);
     }
-    const patience = classes.patienceOf(kindOf(1), fresh(1_000));
+    const patience = classes.waitBudgetMs(kindOf(1), fresh(1_000));
     expect(patience).toBeLessThan(1_000 - 180 - 40);
   });
 
@@ -55,6 +60,6 @@
     // open, some hundred milliseconds. Refused after a quarter, all of them
     // come again.
     const classes = makeClasses();
-    expect(classes.patienceOf(kindOf(0), fresh(500))).toBe(210);
+    expect(classes.waitBudgetMs(kindOf(0), fresh(500))).toBe(210);
   });
 });
--- a/src/services/announcement/common/target_directory.ts
+++ b/src/services/announcement/common/target_directory.ts
@@ -132,6 +132,6 @@
 }
 
 /** How long a target has given no sign of life, in milliseconds. */
-export function silenceOf(target: TargetObservation, now: number): number {
+export function silenceMsOf(target: TargetObservation, now: number): number {
   return Math.max(0, now - target.lastHeardAt);
 }
--- a/src/services/announcement/node/announcement_observer.ts
+++ b/src/services/announcement/node/announcement_observer.ts
@@ -56,7 +56,7 @@
   }
 
   /** Sends an order; false where no stream of the target is open. */
-  order(key: TargetKey, order: Order): boolean {
+  sendOrder(key: TargetKey, order: Order): boolean {
     const entry = this.open.get(nameOf(key));
     if (!entry) return false;
     entry.stream.write({body: {$case: 'order', value: order}});
--- a/src/services/announcement/node/announcer.ts
+++ b/src/services/announcement/node/announcer.ts
@@ -17,7 +17,7 @@
 /** What a target says and does when it is asked. */
 export interface AnnouncedTarget {
   status(): TargetStatus;
-  obey(order: Order): OrderResult;
+  execute(order: Order): OrderResult;
 }
 
 type Stream = ClientDuplexStream<TargetMessage, ObserverMessage>;
@@ -84,7 +84,7 @@
       this.say({$case: 'pong', value: {sequence: body.value, status}});
     }
     if (body?.$case === 'order') {
-      this.say({$case: 'result', value: this.target.obey(body.value)});
+      this.say({$case: 'result', value: this.target.execute(body.value)});
     }
   }
 
--- a/src/services/catalog/common/catalog.ts
+++ b/src/services/catalog/common/catalog.ts
@@ -7,7 +7,7 @@
 import {AccountIndex} from '../../account/common/account_index';
 
 /** Why a catalog cannot be taken. */
-export interface CatalogFault {
+export interface CatalogError {
   readonly reason: string;
 }
 
@@ -17,17 +17,19 @@
    * The typed catalog and the canonical text of the source, by which two
    * sources are compared.
    */
-  read(source: string): Result<ReadCatalog, CatalogFault>;
+  read(source: string): Result<ParsedCatalog, CatalogError>;
 }
 
 /** A catalog with the text that it was read from. */
-export interface ReadCatalog {
+export interface ParsedCatalog {
   readonly catalog: Catalog;
-  readonly canonical: string;
+  readonly canonicalText: string;
 }
 
 /** Checks what must hold between the parts of a catalog. */
-export function checkCatalog(catalog: Catalog): Result<Catalog, CatalogFault> {
+export function validateCatalog(
+  catalog: Catalog,
+): Result<Catalog, CatalogError> {
   const services = new Set<string>();
   for (const {service} of catalog.services) {
     if (service === '') return fault('a service without a name');
@@ -55,7 +57,7 @@
 /** A key tells which account a caller is: two cannot hold the same one. */
 function checkAccounts(
   accounts: readonly AccountEntry[],
-): Result<void, CatalogFault> {
+): Result<void, CatalogError> {
   const names = new Set<string>();
   const holders = new Map<string, string>();
   for (const {account, keyDigests} of accounts) {
@@ -73,7 +75,7 @@
   return ok(undefined);
 }
 
-function fault(reason: string): Result<never, CatalogFault> {
+function fault(reason: string): Result<never, CatalogError> {
   return err({reason});
 }
 
--- a/src/services/catalog/common/catalog_delta.ts
+++ b/src/services/catalog/common/catalog_delta.ts
@@ -5,7 +5,7 @@
   DatabaseRoute,
   ServiceEntry,
 } from '../../../schema/generated/fleet';
-import {applyListDelta} from '../../fleet_link/common/keyed_changes';
+import {applyListDelta} from '../../fleet_link/common/revisioned_list';
 
 /**
  * What turns one catalog into another.
@@ -13,7 +13,7 @@
  * Buys: a change of one route is some 80 bytes to each proxy where the whole
  * catalog is 60 for each route, on links of 2 Mbit/s and between regions.
  */
-export function catalogDelta(base: Catalog, next: Catalog): CatalogDelta {
+export function makeCatalogDelta(base: Catalog, next: Catalog): CatalogDelta {
   const routes = changesOf(base.routes, next.routes, databaseOf, isSameRoute);
   const accounts = changesOf(
     base.accounts,
--- a/src/services/catalog/test/common/catalog_delta.test.ts
+++ b/src/services/catalog/test/common/catalog_delta.test.ts
@@ -10,7 +10,7 @@
   makeCatalog,
   makeRoute,
 } from '../../../gateway/test/node/session_fixture';
-import {applyCatalogDelta, catalogDelta} from '../../common/catalog_delta';
+import {applyCatalogDelta, makeCatalogDelta} from '../../common/catalog_delta';
 
 /** A catalog after some random changes of an operator. */
 function change(catalog: Catalog, random: SeededRandom): Catalog {
@@ -59,7 +59,9 @@
       let held = makeCatalog([makeRoute()]);
       for (let step = 0; step < 6; step++) {
         const next = change(held, random);
-        const bytes = CatalogDelta.encode(catalogDelta(held, next)).finish();
+        const bytes = CatalogDelta.encode(
+          makeCatalogDelta(held, next),
+        ).finish();
         const applied = applyCatalogDelta(held, CatalogDelta.decode(bytes));
         expect(contentOf(applied!), `seed ${seed}`).toEqual(contentOf(next));
         held = applied!;
@@ -74,7 +76,7 @@
     const first = makeCatalog([makeRoute()], {version: 1});
     const second = makeCatalog([makeRoute()], {version: 2});
     const third = makeCatalog([], {version: 3});
-    const delta = catalogDelta(second, third);
+    const delta = makeCatalogDelta(second, third);
     expect(applyCatalogDelta(first, delta)).toBeUndefined();
   });
 
@@ -87,7 +89,7 @@
     const base = makeCatalog(routes, {version: 1});
     const added = makeRoute({database: 'database-new', name: 'route-new'});
     const next = makeCatalog([...routes, added], {version: 2});
-    const bytes = CatalogDelta.encode(catalogDelta(base, next)).finish();
+    const bytes = CatalogDelta.encode(makeCatalogDelta(base, next)).finish();
     expect(bytes.length).toBeLessThan(150);
   });
 });
--- a/src/services/confirmation/common/commits.ts
+++ b/src/services/confirmation/common/pending_commits.ts
@@ -2,9 +2,9 @@
 import type {TargetStatus} from '../../../schema/generated/announcement';
 import {Phase, type ServiceRecord} from '../../../schema/generated/control';
 import type {TermLease} from '../../lease/common/term_lease';
-import {Lineage} from '../../position/common/lineage';
+import {TermHistory} from '../../position/common/term_history';
 import type {Position} from '../../position/common/position';
-import {Confirmations} from './confirmations';
+import {ReplicaConfirmations} from './replica_confirmations';
 
 /** What a commit came to, as a caller may be told. */
 export type CommitOutcome =
@@ -15,7 +15,7 @@
   /** Neither was known before the deadline. */
   | 'unknown';
 
-interface PendingCommit {
+interface CommitEntry {
   /** Where it was made. */
   readonly made: Position;
   /** In the term under which it will be acknowledged. */
@@ -30,24 +30,24 @@
  * enough replicas and a lease on its term. Where the term ends first, the log
  * of the next one tells whether the commit is done or never was.
  */
-export class Commits {
-  private readonly confirmations: Confirmations;
-  private readonly pending = new Set<PendingCommit>();
+export class PendingCommits {
+  private readonly confirmations: ReplicaConfirmations;
+  private readonly pending = new Set<CommitEntry>();
   private record: ServiceRecord | undefined;
 
   constructor(
     private readonly lease: TermLease,
     confirmationsNeeded: number,
   ) {
-    this.confirmations = new Confirmations(confirmationsNeeded);
+    this.confirmations = new ReplicaConfirmations(confirmationsNeeded);
   }
 
-  get waiting(): number {
+  get pendingCount(): number {
     return this.pending.size;
   }
 
-  setNeeded(needed: number): void {
-    this.confirmations.setNeeded(needed);
+  setRequiredConfirmations(needed: number): void {
+    this.confirmations.setRequired(needed);
   }
 
   /** Settles once the commit may be acknowledged, or cannot be. */
@@ -55,9 +55,9 @@
     position: Position,
     deadline: number,
     now: number,
-    settle: PendingCommit['settle'],
+    settle: CommitEntry['settle'],
   ): void {
-    const commit: PendingCommit = {
+    const commit: CommitEntry = {
       made: position,
       position,
       state: 'confirming',
@@ -78,7 +78,7 @@
   }
 
   /** The service's term or primary changed. */
-  onRecord(record: ServiceRecord, now: number): void {
+  onServiceRecord(record: ServiceRecord, now: number): void {
     this.record = record;
     this.confirmations.endTermsBelow(record.term);
     for (const commit of [...this.pending]) {
@@ -87,7 +87,7 @@
   }
 
   /** The lease was extended. */
-  onLease(now: number): void {
+  onLeaseExtended(now: number): void {
     for (const commit of [...this.pending]) {
       if (commit.state === 'awaiting lease') this.acknowledge(commit, now);
     }
@@ -101,10 +101,10 @@
 
   /** How long the oldest commit has waited for replicas, in milliseconds. */
   unconfirmedMs(now: number): number {
-    return this.confirmations.oldestWait(now);
+    return this.confirmations.oldestWaitMs(now);
   }
 
-  private confirm(commit: PendingCommit, now: number): void {
+  private confirm(commit: CommitEntry, now: number): void {
     commit.state = 'confirming';
     this.confirmations.wait(commit.position, now, outcome => {
       if (outcome !== 'confirmed' || !this.pending.has(commit)) return;
@@ -113,19 +113,19 @@
     });
   }
 
-  private acknowledge(commit: PendingCommit, now: number): void {
+  private acknowledge(commit: CommitEntry, now: number): void {
     if (!this.lease.acknowledge(commit.position, now)) return;
     this.settle(commit, 'done');
   }
 
-  private endTerm(commit: PendingCommit, now: number): void {
+  private endTerm(commit: CommitEntry, now: number): void {
     const {record} = this;
     commit.state = 'between terms';
     if (!record || record.phase !== Phase.PHASE_STEADY) return;
     const {term, termStarts} = record;
-    const lineage = new Lineage(term, termStarts);
+    const lineage = new TermHistory(term, termStarts);
     commit.position = {term, offset: commit.made.offset};
-    if (lineage.holds(commit.made)) this.confirm(commit, now);
+    if (lineage.contains(commit.made)) this.confirm(commit, now);
     else this.confirmLoss(commit, record, now);
   }
 
@@ -136,7 +136,7 @@
    * can go on with an older log.
    */
   private confirmLoss(
-    commit: PendingCommit,
+    commit: CommitEntry,
     {term, termStarts}: ServiceRecord,
     now: number,
   ): void {
@@ -147,7 +147,7 @@
     });
   }
 
-  private settle(commit: PendingCommit, outcome: CommitOutcome): void {
+  private settle(commit: CommitEntry, outcome: CommitOutcome): void {
     if (!this.pending.delete(commit)) return;
     commit.settle(outcome, commit.position);
   }
--- a/src/services/confirmation/common/confirmations.ts
+++ b/src/services/confirmation/common/replica_confirmations.ts
@@ -26,13 +26,13 @@
  * asynchronous, so the answer is held until a replica of the same term has the
  * commit. A promotion meets that replica.
  */
-export class Confirmations {
+export class ReplicaConfirmations {
   private waiters: Waiter[] = [];
   private readonly held = new Map<InstanceId, Position>();
 
   constructor(private needed: number) {}
 
-  setNeeded(needed: number): void {
+  setRequired(needed: number): void {
     this.needed = needed;
     this.settleDue();
   }
@@ -66,7 +66,7 @@
   }
 
   /** How long the oldest commit has waited, in milliseconds. */
-  oldestWait(now: number): number {
+  oldestWaitMs(now: number): number {
     const [oldest] = this.waiters;
     return oldest ? now - oldest.since : 0;
   }
--- a/src/services/confirmation/test/common/commits.test.ts
+++ b/src/services/confirmation/test/common/pending_commits.test.ts
@@ -4,7 +4,7 @@
 import {Phase, type ServiceRecord} from '../../../../schema/generated/control';
 import {TermLease} from '../../../lease/common/term_lease';
 import {replicaStatus as status} from '../../../announcement/test/common/status_fixture';
-import {Commits} from '../../common/commits';
+import {PendingCommits} from '../../common/pending_commits';
 
 const R1 = instanceId('r1');
 
@@ -32,8 +32,8 @@
 function setUp() {
   const clock = new ManualClock(1_000);
   const lease = new TermLease(clock);
-  const commits = new Commits(lease, 1);
-  commits.onRecord(record(1, Phase.PHASE_STEADY, [FIRST]), clock.now());
+  const commits = new PendingCommits(lease, 1);
+  commits.onServiceRecord(record(1, Phase.PHASE_STEADY, [FIRST]), clock.now());
   lease.extend(1, clock.now(), 500);
   const outcomes: string[] = [];
   const add = (term: number, offset: number) => {
@@ -67,20 +67,23 @@
     commits.onStatus(R1, status(1, 10));
     expect(outcomes).toEqual([]);
     lease.extend(1, clock.now(), 500);
-    commits.onLease(clock.now());
+    commits.onLeaseExtended(clock.now());
     expect(outcomes).toEqual(['done']);
   });
 
   it('is done where the next term has it, under the next lease', () => {
     const {clock, lease, commits, outcomes, add} = setUp();
     add(1, 10);
-    commits.onRecord(record(2, Phase.PHASE_CHANGING, [FIRST]), clock.now());
+    commits.onServiceRecord(
+      record(2, Phase.PHASE_CHANGING, [FIRST]),
+      clock.now(),
+    );
     const starts = [FIRST, {term: 2, baseOffset: 10, baseTerm: 1}];
-    commits.onRecord(record(2, Phase.PHASE_STEADY, starts), clock.now());
+    commits.onServiceRecord(record(2, Phase.PHASE_STEADY, starts), clock.now());
     commits.onStatus(R1, status(2, 10));
     expect(outcomes).toEqual([]);
     lease.extend(2, clock.now(), 500);
-    commits.onLease(clock.now());
+    commits.onLeaseExtended(clock.now());
     expect(outcomes).toEqual(['done']);
   });
 
@@ -90,7 +93,7 @@
     const {clock, commits, outcomes, add} = setUp();
     add(1, 10);
     const starts = [FIRST, {term: 2, baseOffset: 9, baseTerm: 1}];
-    commits.onRecord(record(2, Phase.PHASE_STEADY, starts), clock.now());
+    commits.onServiceRecord(record(2, Phase.PHASE_STEADY, starts), clock.now());
     expect(outcomes).toEqual([]);
     commits.onStatus(R1, status(2, 9));
     expect(outcomes).toEqual(['not run']);
--- a/src/services/room/common/room_fleet.ts
+++ b/src/services/connection_quota/common/allocated_services.ts
@@ -3,10 +3,10 @@
   Member,
   PoolerEntry,
 } from '../../../schema/generated/fleet';
-import {sharedConnections} from '../../dispatch/common/shared_connections';
+import {usableConnections} from '../../dispatch/common/usable_connections';
 
 /** A service whose members' connections control hands out. */
-export interface RoomService {
+export interface AllocatedService {
   /** Connections to one member that all instances together may have. */
   readonly shared: number;
   readonly members: readonly string[];
@@ -14,7 +14,7 @@
 }
 
 /** What control knows when it hands connections out. */
-export interface RoomInputs {
+export interface AllocationInputs {
   readonly catalog: Catalog | undefined;
   readonly members: readonly Member[];
   readonly poolers: readonly PoolerEntry[];
@@ -26,14 +26,16 @@
  * Services that have poolers, and whose callers have accounts with limits or
  * whose instances differ in size. All others share equally.
  */
-export function roomServices(inputs: RoomInputs): Map<string, RoomService> {
+export function selectAllocatedServices(
+  inputs: AllocationInputs,
+): Map<string, AllocatedService> {
   const {catalog, members, poolers} = inputs;
-  const services = new Map<string, RoomService>();
+  const services = new Map<string, AllocatedService>();
   for (const {service, connections} of catalog?.services ?? []) {
     const own = poolers.filter(other => other.service === service);
     if (own.length === 0 || !isByDemand(service, inputs)) continue;
     services.set(service, {
-      shared: sharedConnections(connections),
+      shared: usableConnections(connections),
       members: members
         .filter(other => other.service === service)
         .map(({instance}) => instance),
@@ -45,7 +47,7 @@
 
 function isByDemand(
   service: string,
-  {catalog, areUneven}: RoomInputs,
+  {catalog, areUneven}: AllocationInputs,
 ): boolean {
   if (areUneven) return true;
   const hasLimits = catalog?.accounts.some(({limit}) => limit) ?? false;
--- a/src/services/room/common/control_room.ts
+++ b/src/services/connection_quota/common/connection_allocation.ts
@@ -4,11 +4,11 @@
   PoolerEntry,
 } from '../../../schema/generated/fleet';
 import {areUneven, type InstanceCapacity} from './capacity';
-import {RoomAllocator} from './room_allocator';
-import {roomServices} from './room_fleet';
+import {ConnectionAllocator} from '../../connection_quota/common/connection_allocator';
+import {selectAllocatedServices} from './allocated_services';
 
 /** What connections are handed out by. */
-export interface RoomSource {
+export interface AllocationSource {
   catalog(): Catalog | undefined;
   members(): readonly Member[];
   membersRevision(): number;
@@ -18,29 +18,29 @@
 }
 
 /** Control's part in handing out connections, over its leaderships. */
-export class ControlRoom {
-  private allocator = new RoomAllocator(0);
+export class ConnectionAllocation {
+  private allocator = new ConnectionAllocator(0);
   private known: readonly unknown[] = [];
   /** Once seen: proxies that come back one by one would switch it off. */
   private uneven = false;
 
-  constructor(private readonly source: RoomSource) {}
+  constructor(private readonly source: AllocationSource) {}
 
   /** Begins anew with a leadership. */
-  begin(now: number): void {
-    this.allocator = new RoomAllocator(now);
+  onDidBecomeLeader(now: number): void {
+    this.allocator = new ConnectionAllocator(now);
     this.known = [];
     this.uneven = false;
   }
 
   /** Looks whether instances differ in size. */
-  tend(): void {
+  checkCapacities(): void {
     if (this.uneven || this.source.poolers().length === 0) return;
     this.uneven = areUneven(this.source.capacities());
   }
 
   /** Who may open how many connections, by what is known now. */
-  get current(): RoomAllocator {
+  get currentAllocator(): ConnectionAllocator {
     const {source} = this;
     const catalog = source.catalog();
     const poolers = source.poolers();
@@ -50,7 +50,7 @@
       this.known = known;
       const members = source.members();
       const inputs = {catalog, members, poolers, areUneven: this.uneven};
-      this.allocator.setServices(roomServices(inputs));
+      this.allocator.setServices(selectAllocatedServices(inputs));
     }
     return this.allocator;
   }
--- a/src/services/room/common/room_allocator.ts
+++ b/src/services/connection_quota/common/connection_allocator.ts
@@ -3,11 +3,11 @@
   ConnectionGrants,
   ConnectionUse,
 } from '../../../schema/generated/fleet';
-import {MemberRoom, type GrantChange} from './member_room';
-import type {RoomService} from './room_fleet';
+import {MemberRoom, type GrantChange} from './member_connections';
+import type {AllocatedService} from './allocated_services';
 
 /** What a pooler says with a question. */
-export interface RoomReport {
+export interface ConnectionReport {
   readonly connections: ConnectionUse[];
   /** The newest list that it keeps to; 0 for none. */
   readonly grantsNumber: number;
@@ -20,7 +20,7 @@
 }
 
 /** A grant that changed by half or more, for the log. */
-export interface NotedChange extends GrantChange {
+export interface LargeGrantChange extends GrantChange {
   readonly service: string;
   readonly instance: string;
   /** The list that tells it. */
@@ -40,7 +40,7 @@
 }
 
 interface ServiceRoom {
-  service: RoomService;
+  service: AllocatedService;
   readonly members: Map<string, MemberRoom>;
 }
 
@@ -48,7 +48,7 @@
  * A pooler that asked nothing for so long has fallen back to its equal share
  * and given back what it does not use, in milliseconds.
  */
-export const ROOM_LEASE_MS = 3_000;
+export const GRANT_LEASE_MS = 3_000;
 /** A report of more connections than any member takes is no report. */
 const MOST_CONNECTIONS = 65_535;
 const MOST_NOTED = 256;
@@ -57,23 +57,23 @@
  * Hands out the connections to members among the poolers of their services,
  * in one leadership of control.
  */
-export class RoomAllocator {
+export class ConnectionAllocator {
   private readonly services = new Map<string, ServiceRoom>();
   private readonly streams = new Map<string, Stream>();
   /** Poolers whose part is known to be free until they report. */
   private readonly gone = new Set<string>();
-  private noted: NotedChange[] = [];
+  private noted: LargeGrantChange[] = [];
 
   /** @param since When this leadership began. */
   constructor(private readonly since: number) {}
 
   /** Whether connections of any service are handed out. */
-  get isInUse(): boolean {
+  get isActive(): boolean {
     return this.services.size > 0;
   }
 
   /** Takes the services whose connections are handed out, as they are now. */
-  setServices(services: ReadonlyMap<string, RoomService>): void {
+  setServices(services: ReadonlyMap<string, AllocatedService>): void {
     for (const [name, known] of this.services) {
       const withdrawn = {...known.service, poolers: NOBODY};
       known.service = services.get(name) ?? withdrawn;
@@ -86,7 +86,7 @@
   }
 
   /** Takes what a pooler has and wants. */
-  report(pooler: string, report: RoomReport, now: number): void {
+  report(pooler: string, report: ConnectionReport, now: number): void {
     const stream = this.streams.get(pooler);
     if (!stream) return;
     stream.heardAt = now;
@@ -111,7 +111,7 @@
    *
    * @param attached The instances that follow this leader.
    */
-  take(attached: Iterable<string>, now: number): GrantList[] {
+  allocate(attached: Iterable<string>, now: number): GrantList[] {
     this.tendStreams(attached, now);
     for (const [name, room] of this.services) {
       if (this.isKnown(room, now)) this.share(name, room, now);
@@ -128,7 +128,7 @@
   }
 
   /** Grants that changed by half or more since the last call. */
-  takeChanges(): readonly NotedChange[] {
+  takeLargeChanges(): readonly LargeGrantChange[] {
     const {noted} = this;
     this.noted = [];
     return noted;
@@ -150,7 +150,7 @@
     }
     for (const [pooler, stream] of this.streams) {
       if (!present.has(pooler)) this.detach(pooler);
-      else if (now - stream.heardAt >= ROOM_LEASE_MS && !stream.isFreed) {
+      else if (now - stream.heardAt >= GRANT_LEASE_MS && !stream.isFreed) {
         stream.isFreed = true;
         this.free(pooler);
       }
@@ -184,7 +184,7 @@
    * the parts of the others away, while they keep to the word of the old one.
    */
   private isKnown({service, members}: ServiceRoom, now: number): boolean {
-    if (now - this.since >= ROOM_LEASE_MS) return true;
+    if (now - this.since >= GRANT_LEASE_MS) return true;
     const streams = [...this.streams.values()];
     if (!streams.every(({kept, isFreed}) => kept > 0 || isFreed)) return false;
     return [...service.poolers].every(pooler => {
@@ -214,7 +214,7 @@
     return this.streams.get(pooler)?.isFreed === false;
   }
 
-  private note(change: NotedChange): void {
+  private note(change: LargeGrantChange): void {
     const {before, after} = change;
     const isLarge = Math.abs(after - before) * 2 >= Math.max(before, 1);
     if (isLarge && this.noted.length < MOST_NOTED) this.noted.push(change);
--- a/src/services/room/common/room_metrics.ts
+++ b/src/services/connection_quota/common/connection_metrics.ts
@@ -1,12 +1,14 @@
-import type {MemberRoomView} from './connection_room';
-import type {RoomAllocator} from './room_allocator';
+import type {MemberConnectionsView} from '../../connection_quota/common/connection_quota';
+import type {ConnectionAllocator} from '../../connection_quota/common/connection_allocator';
 
 /** What a proxy has, wants and may have of members, for its metrics. */
-export function renderRoom(views: readonly MemberRoomView[]): string {
+export function renderConnectionUse(
+  views: readonly MemberConnectionsView[],
+): string {
   const gauges = [
-    ['held', (view: MemberRoomView) => view.open],
-    ['wanted', (view: MemberRoomView) => view.wanted],
-    ['granted', (view: MemberRoomView) => view.granted],
+    ['held', (view: MemberConnectionsView) => view.open],
+    ['wanted', (view: MemberConnectionsView) => view.wanted],
+    ['granted', (view: MemberConnectionsView) => view.granted],
   ] as const;
   return gauges
     .map(([name, valueOf]) => {
@@ -17,7 +19,9 @@
 }
 
 /** What is open or may be opened by all poolers, for control's metrics. */
-export function renderCharges({charges}: RoomAllocator): string {
+export function renderChargedConnections({
+  charges,
+}: ConnectionAllocator): string {
   const lines = charges.map(charge => `${labels(charge)} ${charge.charged}`);
   return renderGauge('member_connections_charged', lines);
 }
--- a/src/services/room/common/connection_room.ts
+++ b/src/services/connection_quota/common/connection_quota.ts
@@ -3,7 +3,7 @@
   ConnectionGrants,
   ConnectionUse,
 } from '../../../schema/generated/fleet';
-import {ROOM_LEASE_MS, type RoomReport} from './room_allocator';
+import {GRANT_LEASE_MS, type ConnectionReport} from './connection_allocator';
 import {WantedConnections} from './wanted_connections';
 
 /** What a dispatcher has and would use of one member. */
@@ -15,8 +15,8 @@
 }
 
 /** One member as this proxy uses it, for metrics. */
-export interface MemberRoomView extends ConnectionUse {
-  readonly lapsed: boolean;
+export interface MemberConnectionsView extends ConnectionUse {
+  readonly isExpired: boolean;
 }
 
 interface KnownMember {
@@ -32,7 +32,10 @@
 }
 
 /** What is told where control did not ask. */
-export const NO_REPORT: RoomReport = {connections: [], grantsNumber: 0};
+export const EMPTY_REPORT: ConnectionReport = {
+  connections: [],
+  grantsNumber: 0,
+};
 
 /** A change of what is wanted by less than this part is not worth a word. */
 const NEWS_PART = 0.25;
@@ -43,7 +46,7 @@
  * A proxy's part in handing out connections: what it has and wants of members
  * whose connections it keeps, and what control granted it.
  */
-export class ConnectionRoom {
+export class ConnectionQuota {
   private readonly members = new Map<string, KnownMember>();
   /** Whether it ever had a grant of those that hand connections out now. */
   private wasGranted = false;
@@ -65,30 +68,30 @@
   constructor(private readonly clock: Clock) {}
 
   /** Whether control asks what is open and wanted here. */
-  get isAsked(): boolean {
+  get isReportRequested(): boolean {
     return this.asked;
   }
 
   /** Whether control hands out connections, by its word of late. */
-  get isShared(): boolean {
+  get isManagedByControl(): boolean {
     this.tendLease();
     return this.shared;
   }
 
   /** Takes note of what a dispatcher has and wants of a member. */
-  note(service: string, instance: string, use: MemberUse): void {
+  updateUse(service: string, instance: string, use: MemberUse): void {
     const known = this.memberOf(service, instance);
     known.open = use.open;
     known.wanted.note(use.wanted, this.clock.now());
   }
 
   /** Takes note that a member is gone. */
-  forget(service: string, instance: string): void {
+  removeMember(service: string, instance: string): void {
     this.members.delete(keyOf(service, instance));
   }
 
   /** Takes note that a member refused more than is open. */
-  onFull(service: string, instance: string, open: number): void {
+  onDidRefuseConnection(service: string, instance: string, open: number): void {
     const known = this.members.get(keyOf(service, instance));
     if (known?.granted === undefined) return;
     known.granted = Math.max(1, Math.min(known.granted, open));
@@ -101,7 +104,7 @@
   limitOf(
     service: string,
     instance: string,
-    equal: number,
+    equalShare: number,
   ): number | undefined {
     if (!this.wasGranted) return undefined;
     this.tendLease();
@@ -109,7 +112,7 @@
     if (!known) return undefined;
     if (known.granted !== undefined && this.isInTouch) return known.granted;
     const isLapsed = known.lapsed && (this.asked || !this.isInTouch);
-    return isLapsed ? Math.max(1, Math.floor(equal)) : undefined;
+    return isLapsed ? Math.max(1, Math.floor(equalShare)) : undefined;
   }
 
   // ---- Control ----
@@ -125,10 +128,10 @@
   }
 
   /** Takes note of an answer of control to a question. */
-  onDidHear(askedAt: number): void {
+  extendLease(askedAt: number): void {
     this.tendLease();
     this.heardAt = Math.max(this.heardAt, askedAt);
-    this.isInTouch = this.clock.now() - this.heardAt < ROOM_LEASE_MS;
+    this.isInTouch = this.clock.now() - this.heardAt < GRANT_LEASE_MS;
   }
 
   /** Takes a list of grants, unless it is older than the one in force. */
@@ -146,7 +149,7 @@
   }
 
   /** Whether something should be told before the next question. */
-  get isUrgent(): boolean {
+  get isReportUrgent(): boolean {
     if (!this.asked) return false;
     if (this.clock.now() - this.toldAt < URGENT_EVERY_MS) return false;
     if (this.toldNumber !== this.number) return true;
@@ -154,8 +157,8 @@
   }
 
   /** What changed since the last report. */
-  takeReport(): RoomReport {
-    if (!this.asked) return NO_REPORT;
+  takeReport(): ConnectionReport {
+    if (!this.asked) return EMPTY_REPORT;
     this.tendLease();
     const connections: ConnectionUse[] = [];
     for (const known of this.members.values()) {
@@ -170,9 +173,9 @@
   }
 
   /** What it has, wants and may have of each member. */
-  get views(): readonly MemberRoomView[] {
+  get views(): readonly MemberConnectionsView[] {
     return [...this.members.values()].map(known => {
-      return {...this.useOf(known), lapsed: known.lapsed};
+      return {...this.useOf(known), isExpired: known.lapsed};
     });
   }
 
@@ -197,11 +200,11 @@
   private tendLease(): void {
     if (!this.shared) return;
     const now = this.clock.now();
-    const isOver = now - this.heardAt >= ROOM_LEASE_MS;
+    const isOver = now - this.heardAt >= GRANT_LEASE_MS;
     if (this.isInTouch && isOver) {
       this.isInTouch = false;
       this.dropGrants(true);
-    } else if (!this.asked && now - this.attachedAt >= ROOM_LEASE_MS) {
+    } else if (!this.asked && now - this.attachedAt >= GRANT_LEASE_MS) {
       // This leader hands none out; what an earlier one said is over.
       this.dropGrants(false);
       this.wasGranted = false;
--- a/src/services/room/common/member_room.ts
+++ b/src/services/connection_quota/common/member_connections.ts
@@ -1,5 +1,5 @@
 import {sumOf} from '../../../base/common/numbers';
-import {needOf, shareRoom} from './share_room';
+import {needOf, shareRoom} from './connection_division';
 
 /** What a pooler says of one member. */
 export interface ReportedUse {
--- a/src/services/room/test/common/room_fleet.test.ts
+++ b/src/services/connection_quota/test/common/allocated_services.test.ts
@@ -1,7 +1,7 @@
 import {expect, it} from 'vitest';
 import type {Catalog, Member} from '../../../../schema/generated/fleet';
 import {areUneven} from '../../common/capacity';
-import {roomServices} from '../../common/room_fleet';
+import {selectAllocatedServices} from '../../../connection_quota/common/allocated_services';
 
 const POOLERS = [
   {service: 'books', instance: 'p1', address: 'p1:1', site: 'a'},
@@ -31,7 +31,7 @@
   uneven = false,
 ) => {
   const inputs = {catalog, members, poolers, areUneven: uneven};
-  return [...roomServices(inputs).keys()];
+  return [...selectAllocatedServices(inputs).keys()];
 };
 
 it('hands out connections where poolers serve accounts with limits', () => {
--- a/src/services/room/test/common/room_fixture.ts
+++ b/src/services/connection_quota/test/common/allocation_fixture.ts
@@ -1,7 +1,7 @@
 import {ManualClock} from '../../../../base/common/clock';
-import {ConnectionRoom} from '../../common/connection_room';
-import {RoomAllocator} from '../../common/room_allocator';
-import type {RoomService} from '../../common/room_fleet';
+import {ConnectionQuota} from '../../../connection_quota/common/connection_quota';
+import {ConnectionAllocator} from '../../../connection_quota/common/connection_allocator';
+import type {AllocatedService} from '../../../connection_quota/common/allocated_services';
 
 /** The one service and member of these tests. */
 export const SERVICE = 'books';
@@ -16,7 +16,7 @@
 
 /** A proxy with work for the member, behind a way to control. */
 export class TestPooler {
-  readonly room: ConnectionRoom;
+  readonly room: ConnectionQuota;
   /** Connections that are open. */
   open = 0;
   /** What its work would keep busy. */
@@ -35,7 +35,7 @@
     readonly name: string,
     readonly clock: ManualClock,
   ) {
-    this.room = new ConnectionRoom(clock);
+    this.room = new ConnectionQuota(clock);
   }
 
   get limit(): number {
@@ -57,7 +57,7 @@
     if (this.open > limit && !this.isHolding) this.open = limit;
     if (this.open < limit) this.open = Math.min(limit, this.wants);
     const use = {open: this.open, wanted: this.wants};
-    if (this.room.isAsked) this.room.note(SERVICE, MEMBER, use);
+    if (this.room.isReportRequested) this.room.updateUse(SERVICE, MEMBER, use);
   }
 }
 
@@ -66,7 +66,7 @@
   readonly clock = new ManualClock();
   readonly poolers: TestPooler[] = [];
   readonly listed = new Set<string>();
-  leader: RoomAllocator;
+  leader: ConnectionAllocator;
   wayMs = (): number => 20;
 
   constructor(
@@ -74,7 +74,7 @@
     count: number,
   ) {
     this.clock.advance(100_000);
-    this.leader = new RoomAllocator(this.clock.now());
+    this.leader = new ConnectionAllocator(this.clock.now());
     for (let at = 0; at < count; at++) this.join();
   }
 
@@ -96,7 +96,7 @@
 
   /** Another instance of control leads from now on. */
   elect(): void {
-    this.leader = new RoomAllocator(this.clock.now());
+    this.leader = new ConnectionAllocator(this.clock.now());
     this.tellServices();
     for (const pooler of this.poolers) {
       pooler.epoch++;
@@ -105,7 +105,7 @@
   }
 
   tellServices(): void {
-    const service: RoomService = {
+    const service: AllocatedService = {
       shared: this.shared,
       members: [MEMBER],
       poolers: new Set(this.listed),
@@ -136,7 +136,9 @@
     }
     if (!pooler.isAlive) return;
     pooler.work();
-    if (pooler.room.isUrgent || now >= pooler.nextQuestionAt) this.ask(pooler);
+    if (pooler.room.isReportUrgent || now >= pooler.nextQuestionAt) {
+      this.ask(pooler);
+    }
   }
 
   private ask(pooler: TestPooler): void {
@@ -146,7 +148,7 @@
     const report = pooler.room.takeReport();
     this.send(pooler, () => {
       leader.report(pooler.name, report, this.clock.now());
-      this.send(pooler, () => pooler.room.onDidHear(askedAt));
+      this.send(pooler, () => pooler.room.extendLease(askedAt));
     });
   }
 
@@ -154,7 +156,7 @@
   private answer(): void {
     const present = this.poolers.filter(({isAlive}) => isAlive);
     const names = present.map(({name}) => name);
-    for (const list of this.leader.take(names, this.clock.now())) {
+    for (const list of this.leader.allocate(names, this.clock.now())) {
       const pooler = this.poolers.find(({name}) => name === list.pooler)!;
       this.send(pooler, () => pooler.room.setGrants(list.value));
     }
--- a/src/services/room/test/common/room_allocator.test.ts
+++ b/src/services/connection_quota/test/common/connection_allocator.test.ts
@@ -1,6 +1,11 @@
 import {describe, expect, it} from 'vitest';
 import {SeededRandom} from '../../../../base/common/random';
-import {MEMBER, SERVICE, TestFleet, type TestPooler} from './room_fixture';
+import {
+  MEMBER,
+  SERVICE,
+  TestFleet,
+  type TestPooler,
+} from './allocation_fixture';
 
 const SHARED = 47;
 
--- a/src/services/room/test/common/connection_room.test.ts
+++ b/src/services/connection_quota/test/common/connection_quota.test.ts
@@ -1,16 +1,16 @@
 import {beforeEach, describe, expect, it} from 'vitest';
 import {ManualClock} from '../../../../base/common/clock';
-import {ConnectionRoom} from '../../common/connection_room';
+import {ConnectionQuota} from '../../../connection_quota/common/connection_quota';
 
 let clock: ManualClock;
-let room: ConnectionRoom;
+let room: ConnectionQuota;
 
 beforeEach(() => {
   clock = new ManualClock();
   clock.advance(100_000);
-  room = new ConnectionRoom(clock);
+  room = new ConnectionQuota(clock);
   room.onDidAttach();
-  room.onDidHear(clock.now());
+  room.extendLease(clock.now());
 });
 
 function grant(connections: number, number: number): void {
@@ -19,7 +19,7 @@
 }
 
 const note = (open: number, wanted: number) => {
-  room.note('books', 'm1', {open, wanted});
+  room.updateUse('books', 'm1', {open, wanted});
 };
 const limit = () => room.limitOf('books', 'm1', 7.8);
 
@@ -28,7 +28,7 @@
     // Deployments whose connections are not handed out pay no byte for it.
     note(3, 200);
     clock.advance(5_000);
-    expect(room.isUrgent).toBe(false);
+    expect(room.isReportUrgent).toBe(false);
     expect(room.takeReport()).toEqual({connections: [], grantsNumber: 0});
     expect(limit()).toBeUndefined();
   });
@@ -38,7 +38,7 @@
   it('tells what it has at once, and then only what changed', () => {
     note(3, 4);
     room.setGrants({grants: [], number: 1});
-    expect(room.isUrgent).toBe(true);
+    expect(room.isReportUrgent).toBe(true);
     const [use] = room.takeReport().connections;
     expect(use).toMatchObject({open: 3, wanted: 4, granted: 0});
     expect(room.takeReport().connections).toEqual([]);
@@ -51,9 +51,9 @@
     grant(5, 1);
     room.takeReport();
     note(5, 10);
-    expect(room.isUrgent).toBe(false);
+    expect(room.isReportUrgent).toBe(false);
     clock.advance(100);
-    expect(room.isUrgent).toBe(true);
+    expect(room.isReportUrgent).toBe(true);
   });
 
   it('keeps to no list that is older than the one in force', () => {
@@ -78,7 +78,7 @@
     // A member refuses a connection below the grant: its own count is another.
     // Each further try would cost a caller its time, for nothing.
     grant(12, 1);
-    room.onFull('books', 'm1', 8);
+    room.onDidRefuseConnection('books', 'm1', 8);
     expect(limit()).toBe(8);
     expect(room.takeReport().connections[0]!.granted).toBe(8);
   });
@@ -102,7 +102,7 @@
     grant(20, 1);
     const askedAt = clock.now();
     clock.advance(2_000);
-    room.onDidHear(askedAt);
+    room.extendLease(askedAt);
     clock.advance(1_000);
     expect(limit()).toBe(7);
   });
@@ -128,7 +128,7 @@
     room.onDidAttach();
     for (let asked = 0; asked < 8; asked++) {
       clock.advance(400);
-      room.onDidHear(clock.now());
+      room.extendLease(clock.now());
     }
     expect(limit()).toBeUndefined();
   });
--- a/src/services/room/test/node/room_exchange.test.ts
+++ b/src/services/connection_quota/test/node/grant_exchange.test.ts
@@ -13,11 +13,11 @@
   makeLog,
   makeRoute,
 } from '../../../gateway/test/node/session_fixture';
-import {LeadBoard} from '../../../lease/common/lead_board';
-import {LeadLeases} from '../../../lease/common/lead_leases';
+import {PublishedPrimaries} from '../../../lease/common/published_primaries';
+import {PrimaryLeases} from '../../../lease/common/primary_leases';
 import {LeaseHolders} from '../../../lease/common/lease_holders';
-import {ConnectionRoom} from '../../common/connection_room';
-import {ControlRoom} from '../../common/control_room';
+import {ConnectionQuota} from '../../../connection_quota/common/connection_quota';
+import {ConnectionAllocation} from '../../../connection_quota/common/connection_allocation';
 
 const MEMBER: Member = {
   ...{instance: 'm1', service: 'books', address: 'm1:1', site: 'a', slots: 2},
@@ -37,10 +37,10 @@
   const poolers = ['p1', 'p2'].map(instance => {
     return {service: 'books', instance, site: 'a', address: `${instance}:1`};
   });
-  const board = new LeadBoard();
+  const board = new PublishedPrimaries();
   const allocator = new LimitAllocator(0);
   const holders = new LeaseHolders(-Infinity);
-  const control: ControlRoom = new ControlRoom({
+  const control: ConnectionAllocation = new ConnectionAllocation({
     catalog: () => catalog,
     members: () => [MEMBER],
     membersRevision: () => 1,
@@ -57,19 +57,19 @@
       membersRevision: () => 1,
       poolers: () => poolers,
       poolersRevision: () => 1,
-      usualProxies: () => 0,
-      leads: () => board,
+      expectedProxyCount: () => 0,
+      publishedPrimaries: () => board,
       holders: () => holders,
       counters: () => [],
       shares: () => allocator,
-      room: () => control.current,
+      connectionAllocator: () => control.currentAllocator,
       confirm: () => Promise.resolve(true),
     },
     clock,
     logged.log,
   );
-  control.begin(clock.now());
-  every(stop.signal, 50, () => control.tend());
+  control.onDidBecomeLeader(clock.now());
+  every(stop.signal, 50, () => control.checkCapacities());
   const server = new MessageServer(makeLog().log);
   leader.serve(server);
   const port = await server.listen('127.0.0.1:0', stop.signal);
@@ -83,23 +83,23 @@
 function follow(instance: string, cores: number) {
   const ended = new AbortController();
   stop.signal.addEventListener('abort', () => ended.abort());
-  const room = new ConnectionRoom(clock);
+  const room = new ConnectionQuota(clock);
   const follower = new FleetFollower(
     {
       instance,
       site: 'a',
       address: `${instance}:1`,
       addresses: () => [address],
-      leases: new LeadLeases(clock),
+      leases: new PrimaryLeases(clock),
       catalogLease: new CatalogLease(5_000, clock),
       counter: new AccountCounter(clock),
       capacity: {cores, linkMbps: 0},
-      room,
+      connectionQuota: room,
     },
     {
       onDidReceiveCatalog: () => {},
       onDidReceiveMembers: () => {},
-      onDidReceiveLeads: () => {},
+      onDidReceiveAssignments: () => {},
       onDidConfirmCatalog: () => {},
       onDidReceivePoolers: () => {},
       onDidReceiveCounters: () => {},
@@ -110,7 +110,7 @@
   follower.start();
   const limit = () => room.limitOf('books', 'm1', 7) ?? 0;
   const use = (wanted: number) => {
-    room.note('books', 'm1', {open: limit(), wanted});
+    room.updateUse('books', 'm1', {open: limit(), wanted});
   };
   return {follower, room, use, limit, end: () => ended.abort()};
 }
@@ -127,7 +127,9 @@
   // A pooler is killed while callers ask for more than two of them may open.
   const [lost, other] = [follow('p1', 1), follow('p2', 2)];
   for (const {use} of [lost, other]) use(14);
-  await until(() => lost.room.isAsked && other.room.isAsked);
+  await until(
+    () => lost.room.isReportRequested && other.room.isReportRequested,
+  );
   for (const {use} of [lost, other]) use(14);
   await until(() => lost.limit() > 0 && other.limit() > 0);
   expect(lost.limit() + other.limit()).toBeLessThanOrEqual(12);
@@ -142,7 +144,7 @@
   await until(() => both.every(({follower}) => follower.isAttached));
   await new Promise(resolve => setTimeout(resolve, 600));
   for (const {room, limit} of both) {
-    expect(room.isAsked).toBe(false);
+    expect(room.isReportRequested).toBe(false);
     expect(room.takeReport().connections).toEqual([]);
     expect(limit()).toBe(0);
   }
--- a/src/services/consensus/common/consensus.ts
+++ b/src/services/consensus/common/consensus.ts
@@ -16,14 +16,14 @@
   ConsensusRole,
   Effect,
   PersistedState,
-  Ticket,
+  RequestId,
 } from './consensus_types';
 import {Election} from './election';
 import {judgeVote} from './vote';
 import {EffectList} from './effect_list';
 import {EntryLog} from './entry_log';
 import {nextAppend} from './next_append';
-import {PendingTickets} from './pending_tickets';
+import {PendingRequests} from './pending_requests';
 import {
   hasMajority,
   isSingleChange,
@@ -64,7 +64,7 @@
   private readonly peers = new PeerTable();
   private round = 0;
   private nextHeartbeat = 0;
-  private readonly pending = new PendingTickets();
+  private readonly pending = new PendingRequests();
 
   constructor(
     readonly id: string,
@@ -108,12 +108,12 @@
     return this.log.configurationAt(this.log.lastIndex).value;
   }
 
-  get configurationCommitted(): boolean {
+  get isConfigurationCommitted(): boolean {
     return this.log.configurationAt(this.log.lastIndex).index <= this.commit;
   }
 
   /** The snapshot that the log begins with. */
-  get appliedSnapshot(): Snapshot {
+  get baseSnapshot(): Snapshot {
     return this.log.snapshot;
   }
 
@@ -122,7 +122,7 @@
   }
 
   /** Whether a leader knows the state to be complete for its term. */
-  get leaderReady(): boolean {
+  get isLeaderReady(): boolean {
     return (
       this.currentRole === 'leader' &&
       this.log.termAt(this.commit) === this.term
@@ -130,7 +130,7 @@
   }
 
   /** A snapshot of all that was applied, around the state machine's bytes. */
-  snapshotOf(state: Buffer): Snapshot {
+  makeSnapshot(state: Buffer): Snapshot {
     const index = this.applied;
     return {
       index,
@@ -147,7 +147,7 @@
   }
 
   /** For how long a leader has not heard a peer, in milliseconds. */
-  silenceOf(id: string, now: number): number {
+  silenceMsOf(id: string, now: number): number {
     return this.peers.silenceOf(id, now);
   }
 
@@ -425,7 +425,7 @@
   }
 
   private onPropose(
-    ticket: Ticket,
+    ticket: RequestId,
     payload: NonNullable<LogEntry['payload']>,
   ): void {
     if (this.currentRole !== 'leader') {
@@ -436,12 +436,12 @@
     this.replicateToAll();
   }
 
-  private onChangeConfiguration(ticket: Ticket, next: Configuration): void {
-    if (!this.leaderReady) return this.effects.refuse(ticket, 'not leader');
+  private onChangeConfiguration(ticket: RequestId, next: Configuration): void {
+    if (!this.isLeaderReady) return this.effects.refuse(ticket, 'not leader');
     // A second change before the first is committed, or one that moves two
     // voters, could give two majorities that do not meet.
     const single = isSingleChange(this.configuration.peers, next.peers);
-    if (!this.configurationCommitted || !single) {
+    if (!this.isConfigurationCommitted || !single) {
       return this.effects.refuse(ticket, 'change in progress');
     }
     this.onPropose(ticket, {$case: 'configuration', value: next});
@@ -450,8 +450,8 @@
     }
   }
 
-  private onConfirm(ticket: Ticket): void {
-    if (!this.leaderReady) return this.effects.refuse(ticket, 'not leader');
+  private onConfirm(ticket: RequestId): void {
+    if (!this.isLeaderReady) return this.effects.refuse(ticket, 'not leader');
     const isFirst = !this.pending.hasConfirmations;
     const round = this.round + 1;
     this.pending.addConfirmation({ticket, round, index: this.commit});
@@ -546,7 +546,7 @@
 
   private afterCommit(): void {
     const removed =
-      this.configurationCommitted &&
+      this.isConfigurationCommitted &&
       !isVoter(this.configuration.peers, this.id);
     if (removed) this.becomeFollower(this.term, '');
   }
--- a/src/services/consensus/common/consensus_types.ts
+++ b/src/services/consensus/common/consensus_types.ts
@@ -7,7 +7,7 @@
 } from '../../../schema/generated/consensus';
 
 /** Names a caller's proposal or confirmation until it is answered. */
-export type Ticket = number;
+export type RequestId = number;
 
 /** What the caller of the core may tell it. */
 export type ConsensusEvent =
@@ -16,15 +16,15 @@
   | {
       readonly kind: 'propose';
       readonly command: Buffer;
-      readonly ticket: Ticket;
+      readonly ticket: RequestId;
     }
   | {
       readonly kind: 'changeConfiguration';
       readonly configuration: Configuration;
-      readonly ticket: Ticket;
+      readonly ticket: RequestId;
     }
   /** Asks for proof that this instance led after the question. */
-  | {readonly kind: 'confirm'; readonly ticket: Ticket}
+  | {readonly kind: 'confirm'; readonly ticket: RequestId}
   /** Everything saved up to this entry of this term is on disk. */
   | {readonly kind: 'synced'; readonly index: number; readonly term: number}
   /** The state machine took a snapshot. */
@@ -45,24 +45,25 @@
   | {readonly kind: 'apply'; readonly entry: LogEntry}
   | {
       readonly kind: 'committed';
-      readonly ticket: Ticket;
+      readonly ticket: RequestId;
       readonly index: number;
     }
   | {
       readonly kind: 'confirmed';
-      readonly ticket: Ticket;
+      readonly ticket: RequestId;
       readonly index: number;
     }
   /** Not taken in, or its fate is unknown to this instance. */
   | {
       readonly kind: 'refused';
-      readonly ticket: Ticket;
-      readonly reason: Refusal;
+      readonly ticket: RequestId;
+      readonly reason: RefusalReason;
     }
   | {readonly kind: 'roleChanged'; readonly role: ConsensusRole};
 
 /** Why a ticket was refused. */
-export type Refusal = 'not leader' | 'leadership lost' | 'change in progress';
+export type RefusalReason =
+  'not leader' | 'leadership lost' | 'change in progress';
 
 /** The part that an instance plays in its consensus term. */
 export type ConsensusRole = 'follower' | 'candidate' | 'leader';
--- a/src/services/consensus/common/effect_list.ts
+++ b/src/services/consensus/common/effect_list.ts
@@ -2,7 +2,7 @@
   ConsensusMessage,
   HardState,
 } from '../../../schema/generated/consensus';
-import type {Effect, Refusal, Ticket} from './consensus_types';
+import type {Effect, RefusalReason, RequestId} from './consensus_types';
 
 /** The effects of one step, in the order in which they are to be done. */
 export class EffectList {
@@ -21,11 +21,11 @@
     this.items.push(effect);
   }
 
-  refuse(ticket: Ticket, reason: Refusal): void {
+  refuse(ticket: RequestId, reason: RefusalReason): void {
     this.push({kind: 'refused', ticket, reason});
   }
 
-  refuseAll(tickets: readonly Ticket[], reason: Refusal): void {
+  refuseAll(tickets: readonly RequestId[], reason: RefusalReason): void {
     for (const ticket of tickets) this.refuse(ticket, reason);
   }
 
--- a/src/services/consensus/common/initial_state.ts
+++ b/src/services/consensus/common/initial_state.ts
@@ -2,7 +2,7 @@
 import type {PersistedState} from './consensus_types';
 
 /** The state of an instance that starts a system of its own. */
-export function bootstrapState(peer: Peer): PersistedState {
+export function singlePeerState(peer: Peer): PersistedState {
   const configuration = {peers: [{...peer, voter: true}]};
   const snapshot: Snapshot = {
     index: 1,
@@ -25,7 +25,7 @@
 }
 
 /** The id of an instance that belongs to the first members of a system. */
-export function founderId(address: string): string {
+export function initialPeerId(address: string): string {
   return `${address}#founder`;
 }
 
@@ -33,9 +33,9 @@
  * What all first members of a system begin with. Each makes it by itself, so
  * all have to know the same list; the bytes are the same then.
  */
-export function foundingSnapshot(addresses: readonly string[]): Snapshot {
+export function initialSnapshot(addresses: readonly string[]): Snapshot {
   const peers = [...addresses].sort().map(address => {
-    return {id: founderId(address), address, voter: true};
+    return {id: initialPeerId(address), address, voter: true};
   });
   return {
     index: 1,
--- a/src/services/consensus/common/pending_tickets.ts
+++ b/src/services/consensus/common/pending_requests.ts
@@ -1,22 +1,22 @@
-import type {Ticket} from './consensus_types';
+import type {RequestId} from './consensus_types';
 
 /** A command that waits to be committed. */
 export interface PendingProposal {
-  readonly ticket: Ticket;
+  readonly ticket: RequestId;
   readonly index: number;
   readonly term: number;
 }
 
 /** A question for proof of leadership that waits for a heartbeat round. */
 export interface PendingConfirmation {
-  readonly ticket: Ticket;
+  readonly ticket: RequestId;
   readonly round: number;
   /** The commit index when it was asked. */
   readonly index: number;
 }
 
 /** What callers of a leader wait for. */
-export class PendingTickets {
+export class PendingRequests {
   private readonly proposals = new Map<number, PendingProposal>();
   private confirmations: PendingConfirmation[] = [];
 
@@ -47,7 +47,7 @@
   }
 
   /** Takes out everything. */
-  takeAll(): Ticket[] {
+  takeAll(): RequestId[] {
     const all = [...this.proposals.values(), ...this.confirmations];
     this.proposals.clear();
     this.confirmations = [];
