--- a/src/services/consensus/node/consensus_node.ts
+++ b/src/services/consensus/node/consensus_node.ts
@@ -12,8 +12,8 @@
   ConsensusEvent,
   ConsensusRole,
   Effect,
-  Refusal,
-  Ticket,
+  RefusalReason,
+  RequestId,
 } from '../common/consensus_types';
 import type {LogStorage, StorageFailure} from './log_storage';
 
@@ -40,12 +40,12 @@
   onDidFail(failure: StorageFailure): void;
 }
 
-type Answer = (outcome: Result<number, Refusal>) => void;
+type Answer = (outcome: Result<number, RefusalReason>) => void;
 
 /** The task that owns one instance's part of the control log. */
 export class ConsensusNode {
   private readonly mailbox = new Mailbox<ConsensusEvent>();
-  private readonly answers = new Map<Ticket, Answer>();
+  private readonly answers = new Map<RequestId, Answer>();
   private lastTicket = 0;
 
   constructor(
@@ -67,36 +67,36 @@
   }
 
   /** Puts a command into the log; the index once it is committed. */
-  propose(command: Buffer): Promise<Result<number, Refusal>> {
+  propose(command: Buffer): Promise<Result<number, RefusalReason>> {
     return this.ask(ticket => ({kind: 'propose', command, ticket}));
   }
 
   /** Proves that this instance led at some time after the call. */
-  confirm(): Promise<Result<number, Refusal>> {
+  confirmLeadership(): Promise<Result<number, RefusalReason>> {
     return this.ask(ticket => ({kind: 'confirm', ticket}));
   }
 
   /** Whether a majority confirmed that this instance led after the call. */
-  async isConfirmed(): Promise<boolean> {
-    return (await this.confirm()).isOk;
+  async isLeadershipConfirmed(): Promise<boolean> {
+    return (await this.confirmLeadership()).isOk;
   }
 
   changeConfiguration(
     configuration: Configuration,
-  ): Promise<Result<number, Refusal>> {
+  ): Promise<Result<number, RefusalReason>> {
     return this.ask(ticket => {
       return {kind: 'changeConfiguration', configuration, ticket};
     });
   }
 
   /** A message from a peer; dropped when too many wait, as a network would. */
-  deliver(message: ConsensusMessage): void {
+  receive(message: ConsensusMessage): void {
     this.mailbox.post({kind: 'message', message});
   }
 
   private ask(
-    event: (ticket: Ticket) => ConsensusEvent,
-  ): Promise<Result<number, Refusal>> {
+    event: (ticket: RequestId) => ConsensusEvent,
+  ): Promise<Result<number, RefusalReason>> {
     return new Promise(resolve => {
       const ticket = ++this.lastTicket;
       this.answers.set(ticket, resolve);
@@ -215,12 +215,15 @@
     const {core} = this;
     const grown = core.commitIndex - core.snapshotIndex;
     if (grown < this.entriesPerSnapshot) return true;
-    const snapshot = core.snapshotOf(this.machine.snapshot());
+    const snapshot = core.makeSnapshot(this.machine.snapshot());
     const effects = core.step({kind: 'compacted', snapshot}, this.clock.now());
     return yield* this.save(effects);
   }
 
-  private answer(ticket: Ticket, outcome: Result<number, Refusal>): void {
+  private answer(
+    ticket: RequestId,
+    outcome: Result<number, RefusalReason>,
+  ): void {
     this.answers.get(ticket)?.(outcome);
     this.answers.delete(ticket);
   }
--- a/src/services/consensus/node/frames.ts
+++ b/src/services/consensus/node/frames.ts
@@ -17,7 +17,7 @@
 }
 
 /** One frame around a payload. */
-export function frame(payload: Uint8Array): Buffer {
+export function encodeFrame(payload: Uint8Array): Buffer {
   const header = Buffer.alloc(HEADER_BYTES);
   header.writeUInt32BE(MARK, 0);
   header.writeUInt32BE(payload.length, 4);
--- a/src/services/consensus/node/joining.ts
+++ b/src/services/consensus/node/join_requests.ts
@@ -2,7 +2,7 @@
 import type {JoinReply, JoinRequest} from '../../../schema/generated/consensus';
 
 /** Carries the question of an instance that wants to be taken in. */
-export interface JoinCalls {
+export interface JoinTransport {
   /** Asks the instance at an address; not called back where none answers. */
   join(
     address: string,
@@ -22,11 +22,11 @@
  * too: an instance that lost its disk would else stay outside for as long as
  * the lead lasts, and its lost voter would count as one failure more.
  */
-export function keepJoining(
+export function requestJoinUntilVoter(
   self: JoinRequest,
   listed: readonly string[],
   isSettled: () => boolean,
-  calls: JoinCalls,
+  calls: JoinTransport,
   signal: AbortSignal,
 ): void {
   let named = '';
--- a/src/services/consensus/node/log_storage.ts
+++ b/src/services/consensus/node/log_storage.ts
@@ -9,8 +9,8 @@
   type LogEntry,
 } from '../../../schema/generated/consensus';
 import type {PersistedState} from '../common/consensus_types';
-import {founderId} from '../common/initial_state';
-import {frame, scanFrames} from './frames';
+import {initialPeerId} from '../common/initial_state';
+import {encodeFrame, scanFrames} from './frames';
 
 const IDENTITY_FILE = 'identity';
 const LOG_FILE = 'log';
@@ -76,12 +76,12 @@
     // 5 ms of each start, and only new folders need it.
     const random = Buffer.from(crypto.getRandomValues(new Uint8Array(4)));
     const fresh = `${instance}#${random.toString('hex')}`;
-    const id = founding ? founderId(instance) : fresh;
+    const id = founding ? initialPeerId(instance) : fresh;
     const log = join(folder, LOG_FILE);
     await replaceFile(folder, LOG_FILE, Buffer.alloc(0));
     if (founding) {
       const bytes = Snapshot.encode(founding).finish();
-      await replaceFile(folder, SNAPSHOT_FILE, frame(bytes));
+      await replaceFile(folder, SNAPSHOT_FILE, encodeFrame(bytes));
     }
     // The identity last: with it the folder is whole.
     await replaceFile(folder, IDENTITY_FILE, Buffer.from(`${id}\n`));
@@ -128,7 +128,7 @@
       if (record?.$case === 'hardState') this.hardState = record.value;
     }
     try {
-      await this.file.appendFile(frame(encodeRecords(records)));
+      await this.file.appendFile(encodeFrame(encodeRecords(records)));
       await this.file.datasync();
       return ok(undefined);
     } catch (thrown) {
@@ -151,8 +151,8 @@
       const bytes = Snapshot.encode(snapshot).finish();
       // The snapshot first: a log without the entries that it covers would
       // have a gap, while entries that it covers twice are passed over.
-      await replaceFile(this.folder, SNAPSHOT_FILE, frame(bytes));
-      const log = frame(encodeRecords(records));
+      await replaceFile(this.folder, SNAPSHOT_FILE, encodeFrame(bytes));
+      const log = encodeFrame(encodeRecords(records));
       await replaceFile(this.folder, LOG_FILE, log);
       await this.file.close();
       this.file = await open(join(this.folder, LOG_FILE), 'a');
--- a/src/services/consensus/node/peer_links.ts
+++ b/src/services/consensus/node/peer_links.ts
@@ -14,7 +14,7 @@
   type JoinRequest,
 } from '../../../schema/generated/consensus';
 import type {ConsensusTransport} from './consensus_node';
-import type {JoinCalls} from './joining';
+import type {JoinTransport} from './join_requests';
 import {PeerAddresses} from './peer_addresses';
 
 /** What control instances say to each other. */
@@ -37,11 +37,11 @@
 /** What a control instance does with what its peers say. */
 export interface PeerListener {
   onDidReceive(message: ConsensusMessage): void;
-  onDidAskToJoin(request: JoinRequest): JoinReply;
+  onDidRequestJoin(request: JoinRequest): JoinReply;
 }
 
 /** Carries the messages of the control log over links. */
-export class PeerLinks implements ConsensusTransport, JoinCalls {
+export class PeerLinks implements ConsensusTransport, JoinTransport {
   private readonly links = new Map<string, Link>();
   private readonly addresses = new PeerAddresses();
   private readonly joins = new Map<string, (reply: JoinReply) => void>();
@@ -58,7 +58,7 @@
       link.start({
         onDidReceive: ({body}) => {
           if (body?.$case === 'join') {
-            link.write({join: listener.onDidAskToJoin(body.value)});
+            link.write({join: listener.onDidRequestJoin(body.value)});
           } else if (body?.$case === 'consensus') {
             this.addresses.learn(body.value);
             listener.onDidReceive(body.value);
--- a/src/services/consensus/test/common/consensus.test.ts
+++ b/src/services/consensus/test/common/consensus.test.ts
@@ -2,7 +2,7 @@
 import {SeededRandom} from '../../../../base/common/random';
 import type {ConsensusMessage} from '../../../../schema/generated/consensus';
 import {Consensus} from '../../common/consensus';
-import {firstSnapshot, Group, peer} from './group';
+import {firstSnapshot, ConsensusSimulation, peer} from './consensus_simulation';
 import {TimedGroup} from './timed_group';
 
 const SCHEDULES = 150;
@@ -10,9 +10,9 @@
 const MOST_STEPS_A_PERIOD = 60;
 
 /** Plays a random schedule: in each period others are cut off or dead. */
-function play(seed: number): Group {
+function play(seed: number): ConsensusSimulation {
   const random = new SeededRandom(seed);
-  const group = new Group(random.pick([3, 5]), random);
+  const group = new ConsensusSimulation(random.pick([3, 5]), random);
   for (let period = 0; period < PERIODS; period++) {
     for (const member of group.members) {
       member.cutOff = random.integer(0, 3) === 0;
@@ -28,7 +28,11 @@
   return group;
 }
 
-function playStep(group: Group, random: SeededRandom, command: string): void {
+function playStep(
+  group: ConsensusSimulation,
+  random: SeededRandom,
+  command: string,
+): void {
   group.now += random.integer(1, 15);
   const alive = group.members.filter(({core}) => core !== undefined);
   for (const member of alive) group.tick(member);
@@ -45,7 +49,7 @@
 }
 
 /** Delivers, loses or doubles one of the messages under way. */
-function moveMessage(group: Group, random: SeededRandom): void {
+function moveMessage(group: ConsensusSimulation, random: SeededRandom): void {
   const {inFlight} = group;
   if (inFlight.length === 0) return;
   const at = random.integer(0, Math.min(inFlight.length, 8) - 1);
@@ -92,7 +96,7 @@
   // it leads. Meanwhile others lead and commit. It must not confirm a lease or
   // settings before, during or after its return.
   it('confirms nothing, steps down and takes over nothing', () => {
-    const group = new Group(3, new SeededRandom(7));
+    const group = new ConsensusSimulation(3, new SeededRandom(7));
     group.settle(1_000);
     const old = group.leader!;
     old.cutOff = true;
@@ -117,7 +121,7 @@
   // run out a thousand times. Without pre-votes its term is far ahead and
   // unseats the leader the moment it returns: promotions stall for nothing.
   it('does not unseat the leader when it returns', () => {
-    const group = new Group(5, new SeededRandom(11));
+    const group = new ConsensusSimulation(5, new SeededRandom(11));
     group.settle(1_000);
     const leader = group.leader!;
     const away = group.members.find(member => member !== leader)!;
@@ -133,7 +137,7 @@
   // Two operators repair the control group at once. Each change alone is safe;
   // both at a time could give two majorities that do not meet, and two leaders.
   it('is refused while another is not committed, or where it moves two', () => {
-    const group = new Group(3, new SeededRandom(3));
+    const group = new ConsensusSimulation(3, new SeededRandom(3));
     group.settle(1_000);
     const core = group.leader!.core!;
     const peers = core.configuration.peers;
@@ -155,7 +159,7 @@
   // It was down while others committed, and asks for a vote of its own term
   // straight away. With the vote it would lead and overwrite what was accepted.
   it('gets no vote from one that holds more', () => {
-    const group = new Group(3, new SeededRandom(5));
+    const group = new ConsensusSimulation(3, new SeededRandom(5));
     group.settle(1_000);
     group.propose(group.leader!, 'accepted');
     group.settle(100);
@@ -234,7 +238,7 @@
     // waited for another election.
     let rounds = 0;
     for (let seed = 1; seed <= 40; seed++) {
-      const group = new Group(3, new SeededRandom(seed));
+      const group = new ConsensusSimulation(3, new SeededRandom(seed));
       group.crash(group.members[2]!);
       const [first, second] = group.members;
       for (group.now of [0, 250]) {
@@ -255,7 +259,7 @@
   it('elects one leader, at the first try', () => {
     for (let seed = 1; seed <= 30; seed++) {
       const random = new SeededRandom(seed);
-      const group = new Group(random.pick([3, 5]), random);
+      const group = new ConsensusSimulation(random.pick([3, 5]), random);
       // The first voter may be the last one to be up.
       const late = random.pick(group.members);
       group.crash(late);
@@ -296,7 +300,7 @@
   // An instance with an old log stands first, again and again. Each refusal
   // raised its term, so that it refused the one that could have won.
   it('leaves the term of a candidate that is refused', () => {
-    const group = new Group(3, new SeededRandom(3));
+    const group = new ConsensusSimulation(3, new SeededRandom(3));
     group.settle(500);
     const leader = group.leader!;
     const behind = group.members.find(member => member !== leader)!;
--- a/src/services/consensus/test/common/group.ts
+++ b/src/services/consensus/test/common/consensus_simulation.ts
@@ -33,7 +33,7 @@
 }
 
 /** Cores joined by a list of messages that a schedule plays with. */
-export class Group {
+export class ConsensusSimulation {
   readonly members: GroupMember[];
   inFlight: ConsensusMessage[] = [];
   now = 0;
@@ -214,7 +214,7 @@
   private compact(member: GroupMember): void {
     const {core} = member;
     if (!core || core.commitIndex - core.snapshotIndex < SNAPSHOT_AFTER) return;
-    const snapshot = core.snapshotOf(Buffer.from('state'));
+    const snapshot = core.makeSnapshot(Buffer.from('state'));
     const effects = core.step({kind: 'compacted', snapshot}, this.now);
     this.save(member, effects);
   }
--- a/src/services/consensus/test/common/timed_group.ts
+++ b/src/services/consensus/test/common/timed_group.ts
@@ -2,7 +2,7 @@
 import type {ConsensusMessage} from '../../../../schema/generated/consensus';
 import {Consensus} from '../../common/consensus';
 import type {ConsensusEvent, Effect} from '../../common/consensus_types';
-import {firstSnapshot, peer} from './group';
+import {firstSnapshot, peer} from './consensus_simulation';
 
 const OPTIONS = {electionMs: 350, heartbeatMs: 100};
 const TICK_MS = 20;
@@ -52,7 +52,7 @@
       if (!event) return undefined;
       this.now = event.at;
       event.run();
-      if (this.cores.some(core => core.leaderReady)) return this.now;
+      if (this.cores.some(core => core.isLeaderReady)) return this.now;
     }
     return undefined;
   }
--- a/src/services/consensus/test/node/log_storage.test.ts
+++ b/src/services/consensus/test/node/log_storage.test.ts
@@ -10,7 +10,7 @@
 import {join} from 'node:path';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 import type {LogRecord} from '../../../../schema/generated/consensus';
-import {bootstrapState} from '../../common/initial_state';
+import {singlePeerState} from '../../common/initial_state';
 import {LogStorage} from '../../node/log_storage';
 
 let folder = '';
@@ -27,7 +27,7 @@
   const opened = await LogStorage.open(folder, 'c1');
   if (opened.isErr) throw new Error(opened.error.detail);
   const {storage, id} = opened.value;
-  const {snapshot} = bootstrapState({id, address: 'a:1', voter: true});
+  const {snapshot} = singlePeerState({id, address: 'a:1', voter: true});
   await storage.install(snapshot, []);
   const hardState = {term: 2, votedFor: id};
   await storage.write([{record: {$case: 'hardState', value: hardState}}]);
--- a/src/services/dispatch/common/place_request.ts
+++ b/src/services/dispatch/common/checkout_request.ts
@@ -1,46 +1,46 @@
 import type {CallerName, MemberUser} from '../../../base/common/ids';
 import type {Result} from '../../../base/common/outcome';
-import type {Waiting} from '../../admission/common/fair_queue';
+import type {QueuedRequest} from '../../admission/common/fair_queue';
 import type {Position} from '../../position/common/position';
 
 /** What a transaction needs a member for. */
-export type PlaceNeed =
+export type CheckoutRequirement =
   /** A write, or a read that must see every acknowledged commit. */
   | {readonly kind: 'primary'}
   /** A read that must see every commit acknowledged before a time. */
   | {
       readonly kind: 'read';
       /** On the clock of the dispatcher, in milliseconds. */
-      readonly coversTime: number;
-      readonly own: OwnCommit | undefined;
+      readonly minReadAt: number;
+      readonly ownCommit: OwnCommit | undefined;
     };
 
 /** A session's own newest commit. */
 export interface OwnCommit {
   readonly position: Position;
   /** When it was acknowledged, on the clock of the dispatcher. */
-  readonly at: number;
+  readonly acknowledgedAt: number;
 }
 
 /** A transaction that waits for a connection to a member. */
-export interface PlaceRequest<G> extends Waiting {
+export interface CheckoutRequest<G> extends QueuedRequest {
   readonly caller: CallerName;
   /** Whose connections it may use. */
   readonly user: MemberUser;
-  readonly need: PlaceNeed;
+  readonly requirement: CheckoutRequirement;
   /** Session values, to prefer a connection that has them. */
   readonly values: ReadonlyMap<string, string>;
   /** Members that did not serve this request before. */
-  readonly passed: ReadonlySet<string>;
+  readonly triedInstances: ReadonlySet<string>;
   /** When it began to ask for places, on the clock of the dispatcher. */
-  readonly since: number;
+  readonly requestedAt: number;
   /** How long it may wait for a place in all, in milliseconds. */
-  readonly patienceMs: number;
-  settle(outcome: Result<G, PlaceRefusal>): void;
+  readonly waitBudgetMs: number;
+  settle(outcome: Result<G, CheckoutRefusal>): void;
 }
 
 /** Why no place was given; nothing has run. */
-export interface PlaceRefusal {
+export interface CheckoutRefusal {
   readonly reason:
     | 'overloaded'
     | 'no primary'
@@ -59,7 +59,7 @@
 }
 
 /** How long new work of a kind would wait for a place, as far as is known. */
-export interface PlaceWait {
+export interface CheckoutWait {
   readonly needsPrimary: boolean;
   readonly priority: number;
   /** In milliseconds. */
--- a/src/services/dispatch/common/choose_member.ts
+++ b/src/services/dispatch/common/choose_member.ts
@@ -4,31 +4,31 @@
 export interface MemberView {
   readonly instance: string;
   readonly isPrimary: boolean;
-  readonly draining: boolean;
+  readonly isDraining: boolean;
   /** Fails or is silent at present. */
-  readonly avoided: boolean;
+  readonly isFailing: boolean;
   /** Transactions of this instance that are on the member now. */
-  readonly running: number;
+  readonly runningCount: number;
   readonly slots: number;
   /** Smoothed time of an answer with its way, in milliseconds. */
   readonly latencyMs: number;
   /** Whether a connection is free, or one may be opened. */
-  readonly hasRoom: boolean;
+  readonly isAvailable: boolean;
   /** No connection of the account is free: one has to be opened first. */
-  readonly needsOpening: boolean;
+  readonly needsConnect: boolean;
   /** How far behind it was seen lately, in milliseconds. */
   readonly lagMs: number;
-  readonly sameRegion: boolean;
+  readonly isSameRegion: boolean;
 }
 
 /** What a read may accept. */
-export interface ReadNeed {
+export interface ReadMemberRequirement {
   /** Undefined where only the primary can tell what is new enough. */
-  readonly floor: Position | undefined;
+  readonly minPosition: Position | undefined;
   /** How far behind a replica may be to hold that, in milliseconds. */
-  readonly mostLagMs: number;
+  readonly maxLagMs: number;
   /** Members that did not serve this request before. */
-  readonly passed: ReadonlySet<string>;
+  readonly triedInstances: ReadonlySet<string>;
 }
 
 /**
@@ -46,9 +46,9 @@
  * The member with the least expected time for a read, or undefined where none
  * that may serve it has room.
  */
-export function chooseForRead(
+export function chooseReadMember(
   members: readonly MemberView[],
-  need: ReadNeed,
+  need: ReadMemberRequirement,
 ): MemberView | undefined {
   let best: MemberView | undefined;
   let least = Infinity;
@@ -62,18 +62,20 @@
   return best;
 }
 
-function mayRead(member: MemberView, need: ReadNeed): boolean {
-  const {floor, mostLagMs, passed} = need;
-  if (!member.hasRoom || member.draining || member.avoided) return false;
-  if (passed.has(member.instance)) return false;
+function mayRead(member: MemberView, need: ReadMemberRequirement): boolean {
+  const {minPosition, maxLagMs, triedInstances} = need;
+  if (!member.isAvailable || member.isDraining || member.isFailing) {
+    return false;
+  }
+  if (triedInstances.has(member.instance)) return false;
   if (member.isPrimary) return true;
-  return floor !== undefined && member.lagMs <= mostLagMs;
+  return minPosition !== undefined && member.lagMs <= maxLagMs;
 }
 
 function costOf(member: MemberView): number {
-  const load = (member.running + 1) / Math.max(1, member.slots);
-  const far = member.sameRegion ? 0 : FAR_PENALTY_MS;
+  const load = (member.runningCount + 1) / Math.max(1, member.slots);
+  const far = member.isSameRegion ? 0 : FAR_PENALTY_MS;
   const lead = member.isPrimary ? PRIMARY_PENALTY_MS : 0;
-  const opening = member.needsOpening ? OPENING_PENALTY_MS : 0;
+  const opening = member.needsConnect ? OPENING_PENALTY_MS : 0;
   return member.latencyMs * Math.max(1, load) + far + lead + opening;
 }
--- a/src/services/dispatch/common/connection_policy.ts
+++ b/src/services/dispatch/common/connection_policy.ts
@@ -9,7 +9,7 @@
 }
 
 /** What a connection is wanted for. */
-export interface ConnectionNeed {
+export interface ConnectionRequirement {
   readonly user: MemberUser;
   /** Values of the session, to prefer a connection that has them. */
   readonly values: ReadonlyMap<string, string>;
@@ -18,9 +18,9 @@
 /** How many connections to a member there are, and may be. */
 export interface ConnectionCounts {
   readonly open: number;
-  readonly opening: number;
+  readonly connecting: number;
   /** Being opened for the user in question. */
-  readonly openingForUser: number;
+  readonly connectingForUser: number;
   readonly limit: number;
   /** Control handed the limit out: others do not open beyond it. */
   readonly isGranted: boolean;
@@ -31,15 +31,15 @@
   /** The connection for a need; undefined where none fits. */
   choose<C extends IdleConnection>(
     idle: readonly C[],
-    need: ConnectionNeed,
+    need: ConnectionRequirement,
   ): C | undefined;
   /** The connection to close for another user; undefined where none should. */
-  victim<C extends IdleConnection>(
+  chooseVictim<C extends IdleConnection>(
     idle: readonly C[],
     user: MemberUser,
   ): C | undefined;
   /** Whether one more may be opened, closing a victim where it has to. */
-  mayOpen(counts: ConnectionCounts, hasVictim: boolean): boolean;
+  canConnect(counts: ConnectionCounts, hasVictim: boolean): boolean;
 }
 
 /**
@@ -61,7 +61,7 @@
 export class LeastRecentlyUsed implements ConnectionPolicy {
   choose<C extends IdleConnection>(
     idle: readonly C[],
-    {user, values}: ConnectionNeed,
+    {user, values}: ConnectionRequirement,
   ): C | undefined {
     const own = idle.filter(connection => connection.user === user);
     const fitting = own.findLast(connection => {
@@ -70,7 +70,7 @@
     return fitting ?? own.at(-1);
   }
 
-  victim<C extends IdleConnection>(
+  chooseVictim<C extends IdleConnection>(
     idle: readonly C[],
     user: MemberUser,
   ): C | undefined {
@@ -78,14 +78,14 @@
     return idle.find(connection => connection.user !== user);
   }
 
-  mayOpen(counts: ConnectionCounts, hasVictim: boolean): boolean {
-    const {open, opening, openingForUser, limit, isGranted} = counts;
+  canConnect(counts: ConnectionCounts, hasVictim: boolean): boolean {
+    const {open, connecting, connectingForUser, limit, isGranted} = counts;
     const mostForUser = isGranted
       ? MOST_GRANTED_FOR_USER
       : MOST_OPENING_FOR_USER;
-    if (openingForUser >= mostForUser) return false;
-    if (opening >= MOST_OPENING) return false;
-    return open + opening < limit || hasVictim;
+    if (connectingForUser >= mostForUser) return false;
+    if (connecting >= MOST_OPENING) return false;
+    return open + connecting < limit || hasVictim;
   }
 }
 
--- a/src/services/dispatch/common/connection_share.ts
+++ b/src/services/dispatch/common/connection_share.ts
@@ -1,20 +1,20 @@
 /** What decides how many connections to a member an instance may hold. */
-export interface ConnectionShare {
+export interface ShareInputs {
   /** Connections to the member that all instances together may have. */
-  readonly shared: number;
+  readonly usableCount: number;
   /** The same for each instance; may be below 1. */
-  readonly equal: number;
+  readonly equalShare: number;
   /** How long this instance has had the service, in milliseconds. */
   readonly ageMs: number;
 }
 
 /** The instances that share the connections of a service. */
-export interface ConnectionSharers {
-  readonly all: number;
+export interface ConnectionPeers {
+  readonly instanceCount: number;
   /** Those of this instance's region; 0 where regions do not matter. */
-  readonly near: number;
+  readonly sameRegionCount: number;
   /** Others keep the connections; this instance is none of them. */
-  readonly elsewhere: boolean;
+  readonly isPooledElsewhere: boolean;
 }
 
 /**
@@ -25,15 +25,20 @@
 const NEAR_PART = 0.8;
 
 /** Connections to one member for each instance; may be below 1. */
-export function equalShare(
+export function computeEqualShare(
   shared: number,
-  {all, near}: Pick<ConnectionSharers, 'all' | 'near'>,
+  {
+    instanceCount,
+    sameRegionCount,
+  }: Pick<ConnectionPeers, 'instanceCount' | 'sameRegionCount'>,
   isNear: boolean,
 ): number {
-  const far = all - near;
-  if (near === 0 || far === 0) return shared / Math.max(1, all);
+  const far = instanceCount - sameRegionCount;
+  if (sameRegionCount === 0 || far === 0) {
+    return shared / Math.max(1, instanceCount);
+  }
   return isNear
-    ? (shared * NEAR_PART) / near
+    ? (shared * NEAR_PART) / sameRegionCount
     : (shared * (1 - NEAR_PART)) / far;
 }
 
@@ -58,24 +63,26 @@
 const RESTART_PART = 0.5;
 
 /** Connections that an instance may have to one member. */
-export function connectionLimit({
-  shared,
-  equal,
+export function computeConnectionLimit({
+  usableCount,
+  equalShare,
   ageMs,
-}: ConnectionShare): number {
-  if (ageMs < RESTART_MS) return Math.max(1, Math.floor(equal * RESTART_PART));
-  const share = Math.max(1, Math.floor(equal));
+}: ShareInputs): number {
+  if (ageMs < RESTART_MS) {
+    return Math.max(1, Math.floor(equalShare * RESTART_PART));
+  }
+  const share = Math.max(1, Math.floor(equalShare));
   const factor = share >= AMPLE_SHARE ? AMPLE_FACTOR : SHARE_FACTOR;
-  return Math.min(shared, Math.floor(share * factor));
+  return Math.min(usableCount, Math.floor(share * factor));
 }
 
 /** What decides whether a connection to a member is kept without work. */
-export interface StandbyView {
+export interface IdleView {
   /** Connections belong to accounts: one kept for nobody serves nobody. */
   readonly servesAccounts: boolean;
-  readonly equal: number;
+  readonly equalShare: number;
   readonly isPrimary: boolean;
-  readonly sameRegion: boolean;
+  readonly isSameRegion: boolean;
 }
 
 /**
@@ -85,7 +92,7 @@
  * 16 connections of replicas that ran half a statement at a time, and after a
  * common restart those of the dead processes left little room.
  */
-export function keepsStandby(view: StandbyView): boolean {
-  if (view.servesAccounts || view.equal < 1) return false;
-  return view.isPrimary || view.sameRegion;
+export function keepsIdleConnection(view: IdleView): boolean {
+  if (view.servesAccounts || view.equalShare < 1) return false;
+  return view.isPrimary || view.isSameRegion;
 }
--- a/src/services/dispatch/common/primary_belief.ts
+++ b/src/services/dispatch/common/current_primary.ts
@@ -1,5 +1,5 @@
 /** The member that leads a service, by control's word and by its own. */
-export class PrimaryBelief {
+export class CurrentPrimary {
   private named = '';
   private namedEpoch = 0;
   private denied = false;
@@ -15,12 +15,12 @@
   }
 
   /** Whether there is such a member that did not say otherwise itself. */
-  get isStanding(): boolean {
+  get isUsable(): boolean {
     return this.named !== '' && !this.denied;
   }
 
   /** Takes control's word; whether it is news. Older decisions are ignored. */
-  take(instance: string, epoch: number): boolean {
+  update(instance: string, epoch: number): boolean {
     if (epoch < this.namedEpoch) return false;
     const isNews = epoch !== this.namedEpoch || instance !== this.named;
     if (isNews) this.denied = false;
@@ -30,14 +30,14 @@
   }
 
   /** Takes a member's own word that it does not lead; whether that is news. */
-  deny(instance: string): boolean {
+  markDemoted(instance: string): boolean {
     if (this.named !== instance || this.denied) return false;
     this.denied = true;
     return true;
   }
 
   /** Takes a member's own word that it leads; whether that is news. */
-  confirm(instance: string): boolean {
+  markPromoted(instance: string): boolean {
     if (this.named !== instance || !this.denied) return false;
     this.denied = false;
     return true;
--- a/src/services/dispatch/common/drain_rate.ts
+++ b/src/services/dispatch/common/drain_rate.ts
@@ -47,7 +47,7 @@
   }
 
   /** How long one waits with so many before it, in milliseconds. */
-  expectedWait(ahead: number, now: number): number {
+  expectedWaitMs(ahead: number, now: number): number {
     if (ahead === 0 || this.intervals < LEAST_INTERVALS) return 0;
     const stalledMs = now - (this.lastAt ?? now);
     return Math.max(this.drainMs(ahead), stalledMs);
--- a/src/services/dispatch/common/request_openings.ts
+++ b/src/services/dispatch/common/pending_connects.ts
@@ -17,15 +17,15 @@
  * else be opened to each member of the service, one after the other, while the
  * first one is on its way.
  */
-export class RequestOpenings<R extends object> {
+export class PendingConnects<R extends object> {
   private readonly openings = new WeakMap<R, Opening>();
 
-  note(request: R, instance: string, now: number): void {
+  set(request: R, instance: string, now: number): void {
     this.openings.set(request, {instance, since: now});
   }
 
   /** The member whose connection a request waits for; undefined for none. */
-  awaitedBy(request: R, now: number): string | undefined {
+  instanceFor(request: R, now: number): string | undefined {
     const opening = this.openings.get(request);
     if (!opening || now - opening.since > OPENING_WAIT_MS) return undefined;
     return opening.instance;
--- a/src/services/dispatch/common/primary_outage.ts
+++ b/src/services/dispatch/common/primary_outage.ts
@@ -29,7 +29,7 @@
   private state: PrimaryState = 'serving';
 
   /** Takes note of how the primary serves this instance. */
-  note(state: PrimaryState, now: number): void {
+  setState(state: PrimaryState, now: number): void {
     if (this.state === 'serving') this.since = now;
     else if (state === 'serving') this.ended = now;
     this.state = state;
@@ -41,7 +41,7 @@
   }
 
   /** When it is expected to end; undefined while there is a primary. */
-  expectedEnd(now: number): number | undefined {
+  expectedEndAt(now: number): number | undefined {
     if (this.state === 'serving') return undefined;
     const isLost = this.state === 'lost';
     const usual = this.since + (isLost ? USUAL_LOSS_MS : USUAL_CHANGE_MS);
--- a/src/services/dispatch/common/shared_connections.ts
+++ b/src/services/dispatch/common/usable_connections.ts
@@ -2,6 +2,6 @@
 const RESERVED_CONNECTIONS = 2;
 
 /** Connections to one member that all instances together may have. */
-export function sharedConnections(memberTakes: number): number {
+export function usableConnections(memberTakes: number): number {
   return Math.max(1, memberTakes - RESERVED_CONNECTIONS);
 }
--- a/src/services/dispatch/common/sole_leader.ts
+++ b/src/services/dispatch/common/verify_primary.ts
@@ -1,7 +1,7 @@
 import type {MemberStatus} from '../../target_link/common/member_status';
 
 /** What one member answered in a round of questions; undefined for nothing. */
-export interface MemberWord {
+export interface MemberStatusReply {
   readonly instance: string;
   readonly status: MemberStatus | undefined;
 }
@@ -15,17 +15,17 @@
  * member, each of which follows a term that is not higher. One word that is
  * missing may be that of the new leader.
  */
-export function soleLeader(
+export function verifyPrimary(
   instance: string,
-  words: readonly MemberWord[],
+  words: readonly MemberStatusReply[],
 ): MemberStatus | undefined {
   const lead = words.find(word => word.instance === instance)?.status;
-  if (!lead?.leads) return undefined;
+  if (!lead?.isPrimary) return undefined;
   const others = words.filter(word => word.instance !== instance);
   // A lone member has nobody to be replaced by that could bear witness.
   if (others.length === 0) return undefined;
   const isProved = others.every(({status}) => {
-    return status && !status.leads && status.term <= lead.term;
+    return status && !status.isPrimary && status.term <= lead.term;
   });
   return isProved ? lead : undefined;
 }
--- a/src/services/dispatch/node/connection_limits.ts
+++ b/src/services/dispatch/node/connection_limits.ts
@@ -1,22 +1,26 @@
 import type {Member, ServiceEntry} from '../../../schema/generated/fleet';
 import {
-  connectionLimit,
-  equalShare,
-  keepsStandby,
-  type ConnectionSharers,
+  computeConnectionLimit,
+  computeEqualShare,
+  keepsIdleConnection,
+  type ConnectionPeers,
 } from '../common/connection_share';
-import {sharedConnections} from '../common/shared_connections';
-import type {DispatcherSurroundings} from './dispatcher_messages';
+import {usableConnections} from '../common/usable_connections';
+import type {DispatcherDependencies} from './dispatcher_messages';
 
 /** How many connections to each member of a service this instance may have. */
 export class ConnectionLimits {
   private definition: ServiceEntry;
-  private sharers: ConnectionSharers = {all: 1, near: 0, elsewhere: false};
+  private sharers: ConnectionPeers = {
+    instanceCount: 1,
+    sameRegionCount: 0,
+    isPooledElsewhere: false,
+  };
   /** Work of accounts came, which cannot use a connection kept for anybody. */
   private hasAccounts = false;
   private readonly since: number;
 
-  constructor(private readonly around: DispatcherSurroundings) {
+  constructor(private readonly around: DispatcherDependencies) {
     const {service, clock} = around;
     this.since = clock.now();
     this.definition = {service, connections: 8, confirmations: 0};
@@ -26,7 +30,7 @@
     this.definition = definition;
   }
 
-  setSharers(sharers: ConnectionSharers): void {
+  setPeers(sharers: ConnectionPeers): void {
     this.sharers = sharers;
   }
 
@@ -43,9 +47,9 @@
   limitOf(member: Member): number {
     const granted = this.grantOf(member);
     if (granted !== undefined) return granted;
-    return connectionLimit({
-      shared: this.shared,
-      equal: this.equalShareOf(member),
+    return computeConnectionLimit({
+      usableCount: this.shared,
+      equalShare: this.equalShareOf(member),
       ageMs: this.around.clock.now() - this.since,
     });
   }
@@ -57,18 +61,21 @@
 
   /** What control granted; undefined where it hands no connections out. */
   grantOf(member: Member): number | undefined {
-    const {room} = this.around;
-    if (!room.isShared) return undefined;
+    const {connectionQuota} = this.around;
+    if (!connectionQuota.isManagedByControl) return undefined;
     const {service, instance} = member;
     const equal = this.equalShareOf(member);
-    return room.limitOf(service, instance, equal);
+    return connectionQuota.limitOf(service, instance, equal);
   }
 
   /** Its equal share of a member; may be below 1. */
   private equalShareOf(member: Member): number {
-    const {all, near} = this.sharers;
-    const sharers = {all, near: this.hasAccounts ? near : 0};
-    return equalShare(this.shared, sharers, this.isNear(member));
+    const {instanceCount, sameRegionCount} = this.sharers;
+    const sharers = {
+      instanceCount,
+      sameRegionCount: this.hasAccounts ? sameRegionCount : 0,
+    };
+    return computeEqualShare(this.shared, sharers, this.isSameRegion(member));
   }
 
   /**
@@ -77,23 +84,28 @@
    * Guard: instances that are no poolers held one each since before poolers
    * were named. The members' connections ran out while many of them rested.
    */
-  keepsStandby(member: Member, isPrimary: boolean): boolean {
-    if (this.sharers.elsewhere && this.around.room.isShared) return false;
-    return keepsStandby({
+  keepsIdleConnection(member: Member, isPrimary: boolean): boolean {
+    if (
+      this.sharers.isPooledElsewhere &&
+      this.around.connectionQuota.isManagedByControl
+    ) {
+      return false;
+    }
+    return keepsIdleConnection({
       servesAccounts: this.hasAccounts,
-      equal: this.equalShareOf(member),
+      equalShare: this.equalShareOf(member),
       isPrimary,
-      sameRegion: this.isNear(member),
+      isSameRegion: this.isSameRegion(member),
     });
   }
 
   /** Whether a member is in the region of this instance. */
-  isNear({site}: Member): boolean {
+  isSameRegion({site}: Member): boolean {
     return this.around.regionOf(site) === this.around.region;
   }
 
   /** Connections to one member that all instances together may have. */
   private get shared(): number {
-    return sharedConnections(this.definition.connections);
+    return usableConnections(this.definition.connections);
   }
 }
--- a/src/services/dispatch/node/dispatcher_messages.ts
+++ b/src/services/dispatch/node/dispatcher_messages.ts
@@ -5,34 +5,34 @@
   ServiceEntry,
   PrimaryAssignment,
 } from '../../../schema/generated/fleet';
-import type {LeadProofs} from '../../lease/common/lead_leases';
+import type {LeaseChecks} from '../../lease/common/primary_leases';
 import type {Position} from '../../position/common/position';
-import type {ConnectionRoom} from '../../room/common/connection_room';
+import type {ConnectionQuota} from '../../connection_quota/common/connection_quota';
 import type {StatusReader} from '../../target_link/common/member_status';
 import type {TargetConnector} from '../../target_link/common/target_link';
-import type {ConnectionSharers} from '../common/connection_share';
-import type {PlaceRequest} from '../common/place_request';
-import type {PooledLink} from './member_pool';
+import type {ConnectionPeers} from '../common/connection_share';
+import type {CheckoutRequest} from '../common/checkout_request';
+import type {PooledConnection} from './member_pool';
 
 /** A connection for one transaction. */
-export interface Grant {
-  readonly pooled: PooledLink;
+export interface Checkout {
+  readonly pooled: PooledConnection;
   readonly isPrimary: boolean;
   /** The decision that the member leads by, where it is the primary. */
   readonly epoch: number;
   /** What the member's log must hold; undefined: proof of lead is needed. */
-  readonly after: Position | undefined;
+  readonly minPosition: Position | undefined;
 }
 
 /** A connection that comes back. */
-export interface Return {
-  readonly pooled: PooledLink;
+export interface ReleasedConnection {
+  readonly pooled: PooledConnection;
   /** Outside a transaction, with nothing of the session running. */
-  readonly clean: boolean;
+  readonly isClean: boolean;
 }
 
 /** What the last statement on a connection told of its member. */
-export interface Observation {
+export interface MemberObservation {
   readonly instance: string;
   readonly askedAt: number;
   readonly answeredAt: number;
@@ -50,25 +50,25 @@
 }
 
 /** Proof that is wanted of the members while control gives none. */
-export interface ProofWish {
+export interface VerificationRequest {
   readonly epoch: number;
   readonly term: number;
   /** How long it is of use, in milliseconds. */
-  readonly timeMs: number;
+  readonly timeoutMs: number;
   settle(isProved: boolean): void;
 }
 
 /** What the dispatcher is told. */
 export type DispatcherMessage =
-  | {readonly kind: 'request'; readonly request: PlaceRequest<Grant>}
+  | {readonly kind: 'request'; readonly request: CheckoutRequest<Checkout>}
   /** Nobody waits for it any more. */
-  | {readonly kind: 'withdraw'; readonly request: PlaceRequest<Grant>}
-  | {readonly kind: 'return'; readonly returned: Return}
-  | {readonly kind: 'observed'; readonly observation: Observation}
+  | {readonly kind: 'withdraw'; readonly request: CheckoutRequest<Checkout>}
+  | {readonly kind: 'return'; readonly returned: ReleasedConnection}
+  | {readonly kind: 'observed'; readonly observation: MemberObservation}
   | {
       readonly kind: 'members';
       readonly members: readonly Member[];
-      readonly sharers: ConnectionSharers;
+      readonly sharers: ConnectionPeers;
     }
   | {
       readonly kind: 'definition';
@@ -76,23 +76,23 @@
       /** Whether its requests are admitted by class. */
       readonly isByClass: boolean;
     }
-  | {readonly kind: 'lead'; readonly lead: PrimaryAssignment}
-  | {readonly kind: 'witness'; readonly wish: ProofWish}
+  | {readonly kind: 'primary'; readonly lead: PrimaryAssignment}
+  | {readonly kind: 'verify'; readonly wish: VerificationRequest}
   | {readonly kind: 'changed'}
   | {readonly kind: 'tick'};
 
 /** What a dispatcher is built on. */
-export interface DispatcherSurroundings {
+export interface DispatcherDependencies {
   readonly service: string;
   readonly region: string;
   regionOf(site: string): string;
   readonly connector: TargetConnector;
-  readonly leases: LeadProofs;
+  readonly leases: LeaseChecks;
   readonly statusReader: StatusReader;
   /** What control hands out of the members' connections. */
-  readonly room: ConnectionRoom;
+  readonly connectionQuota: ConnectionQuota;
   readonly clock: Clock;
   readonly log: Log;
   /** Trouble with the primary began (a text) or ended (''). */
-  onDidJudgePrimary(instance: string, trouble: string): void;
+  onDidAssessPrimary(instance: string, trouble: string): void;
 }
--- a/src/services/dispatch/node/member_demand.ts
+++ b/src/services/dispatch/node/member_demand.ts
@@ -1,6 +1,6 @@
-import type {PlaceNeed} from '../common/place_request';
+import type {CheckoutRequirement} from '../common/checkout_request';
 import type {ConnectionLimits} from './connection_limits';
-import type {DispatcherSurroundings} from './dispatcher_messages';
+import type {DispatcherDependencies} from './dispatcher_messages';
 import type {MemberPool} from './member_pool';
 
 /** Waiting is logged at most so often, in milliseconds. */
@@ -12,7 +12,7 @@
   private loggedAt = -Infinity;
 
   constructor(
-    private readonly around: DispatcherSurroundings,
+    private readonly around: DispatcherDependencies,
     private readonly limits: ConnectionLimits,
   ) {}
 
@@ -22,26 +22,26 @@
   }
 
   /** Takes note that one of them found none. */
-  onUnplaced({kind}: PlaceNeed): void {
+  onUnserved({kind}: CheckoutRequirement): void {
     this.waiting[kind]++;
   }
 
   /** How many of them found none so far. */
-  get unplaced(): number {
+  get unservedCount(): number {
     return this.waiting.primary + this.waiting.read;
   }
 
   /** Tells what is handed out of connections what they are wanted for. */
-  tell(pools: Iterable<MemberPool>, primary: string): void {
-    const {room, service} = this.around;
-    if (!room.isAsked) return;
+  report(pools: Iterable<MemberPool>, primary: string): void {
+    const {connectionQuota, service} = this.around;
+    if (!connectionQuota.isReportRequested) return;
     const all = [...pools];
     this.logWaiting(all, primary);
     const readers = this.readersOf(all).length;
     for (const pool of all) {
       const {instance} = pool.member;
-      const wanted = pool.used + this.waitingFor(pool, primary, readers);
-      room.note(service, instance, {open: pool.size, wanted});
+      const wanted = pool.usedCount + this.waitingFor(pool, primary, readers);
+      connectionQuota.updateUse(service, instance, {open: pool.size, wanted});
     }
   }
 
@@ -60,8 +60,8 @@
   }
 
   /** Closes what is beyond a member's grant, as far as it rests. */
-  giveBack(pool: MemberPool): void {
-    pool.keepTo(this.limits.grantOf(pool.member));
+  trim(pool: MemberPool): void {
+    pool.trimTo(this.limits.grantOf(pool.member));
   }
 
   /** A member whose slots are full serves no more by more connections. */
@@ -87,6 +87,8 @@
   /** Reads wait for the members of the own region first. */
   private isReader(pool: MemberPool): boolean {
     const {member} = pool;
-    return this.limits.isNear(member) && !member.draining && !pool.isFailing;
+    return (
+      this.limits.isSameRegion(member) && !member.draining && !pool.isFailing
+    );
   }
 }
--- a/src/services/dispatch/node/member_pool.ts
+++ b/src/services/dispatch/node/member_pool.ts
@@ -3,7 +3,7 @@
 import type {Member} from '../../../schema/generated/fleet';
 import {
   LeastRecentlyUsed,
-  type ConnectionNeed,
+  type ConnectionRequirement,
   type ConnectionPolicy,
 } from '../common/connection_policy';
 import {ConcurrencyWindow} from '../common/concurrency_window';
@@ -73,7 +73,7 @@
 const FIRST_LATENCY_MS = 20;
 
 /** A connection with what earlier sessions left on it. */
-export interface PooledLink {
+export interface PooledConnection {
   readonly link: TargetLink;
   readonly instance: string;
   readonly user: MemberUser;
@@ -106,8 +106,8 @@
 
 /** The connections of this instance to one member. */
 export class MemberPool {
-  private idle: PooledLink[] = [];
-  private readonly all = new Set<PooledLink>();
+  private idle: PooledConnection[] = [];
+  private readonly all = new Set<PooledConnection>();
   /** Connections that are being opened, by their users. */
   private readonly openings = new Map<MemberUser, number>();
   private readonly policy: ConnectionPolicy = new LeastRecentlyUsed();
@@ -132,17 +132,17 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  get running(): number {
+  get runningCount(): number {
     return this.all.size - this.idle.length;
   }
 
   /** Connections that work keeps, or an account that worked just now. */
-  get used(): number {
+  get usedCount(): number {
     const since = this.clock.now() - ACCOUNT_USED_MS;
     const resting = this.idle.filter(({user, idleSince}) => {
       return user !== SHARED_USER && idleSince >= since;
     });
-    return this.running + resting.length;
+    return this.runningCount + resting.length;
   }
 
   get latencyMs(): number {
@@ -152,7 +152,7 @@
   /** What keeps it from serving more at present, for the log. */
   get state(): PoolState {
     return {
-      running: this.running,
+      running: this.runningCount,
       idle: this.idle.length,
       opening: this.opening,
       window: this.window.size,
@@ -171,7 +171,7 @@
   }
 
   /** Whether nothing about it changes by time alone, but for a standby. */
-  isAtRest(keepsStandby: boolean): boolean {
+  isQuiescent(keepsStandby: boolean): boolean {
     if (this.suspectedSince !== undefined) return false;
     return this.idle.length === this.size && this.size === +keepsStandby;
   }
@@ -190,46 +190,48 @@
     return this.idle.some(pooled => pooled.user === user);
   }
 
-  openingsFor(user: MemberUser): number {
+  connectingCountOf(user: MemberUser): number {
     return this.openings.get(user) ?? 0;
   }
 
   /** Whether one more may be opened, in the place of another user's or not. */
-  mayOpen(limit: number, user = SHARED_USER): boolean {
+  canConnect(limit: number, user = SHARED_USER): boolean {
     if (this.clock.now() < this.pausedUntil) return false;
     const counts = {
       open: this.all.size,
-      opening: this.opening,
-      openingForUser: this.openingsFor(user),
+      connecting: this.opening,
+      connectingForUser: this.connectingCountOf(user),
       limit,
       isGranted: this.isGranted,
     };
-    const victim = this.policy.victim(this.idle, user);
-    return this.policy.mayOpen(counts, victim !== undefined);
+    const victim = this.policy.chooseVictim(this.idle, user);
+    return this.policy.canConnect(counts, victim !== undefined);
   }
 
   /** Whether the member takes one more transaction, as far as it showed. */
   get hasWindow(): boolean {
-    return this.window.allows(this.running);
+    return this.window.allows(this.runningCount);
   }
 
   /** Takes a free connection of a user, with the session's values if there is. */
-  checkout(need: ConnectionNeed): PooledLink | undefined {
+  checkout(need: ConnectionRequirement): PooledConnection | undefined {
     return this.takeIdle(this.policy.choose(this.idle, need));
   }
 
   /** Takes any free connection, for questions to the member itself. */
-  checkoutAny(): PooledLink | undefined {
+  checkoutAny(): PooledConnection | undefined {
     return this.takeIdle(this.idle.at(-1));
   }
 
-  private takeIdle(pooled: PooledLink | undefined): PooledLink | undefined {
+  private takeIdle(
+    pooled: PooledConnection | undefined,
+  ): PooledConnection | undefined {
     if (pooled) this.idle.splice(this.idle.indexOf(pooled), 1);
     return pooled;
   }
 
   /** Takes a connection back; one that is not clean is closed. */
-  release(pooled: PooledLink, clean: boolean): void {
+  release(pooled: PooledConnection, clean: boolean): void {
     if (!this.all.has(pooled)) return;
     if (!clean || pooled.link.isClosed) {
       this.drop(pooled);
@@ -241,7 +243,7 @@
 
   /** Takes note that the member had no room for a statement. */
   onBusy(): void {
-    this.window.onBusy(this.running);
+    this.window.onBusy(this.runningCount);
     this.clearSuspicion();
   }
 
@@ -271,7 +273,7 @@
     // Guard: connections can go silent for good while new ones work; those
     // that rested beside a silent one would each cost a request its time.
     for (const pooled of this.idle.splice(0)) this.drop(pooled);
-    if (this.opening === 0) this.open(SHARED_USER);
+    if (this.opening === 0) this.connect(SHARED_USER);
   }
 
   private clearSuspicion(): void {
@@ -280,13 +282,13 @@
   }
 
   /** Opens a connection, in the place of another user's where it has to. */
-  openWithin(limit: number, user: MemberUser): void {
-    const victim = this.policy.victim(this.idle, user);
+  connectWithin(limit: number, user: MemberUser): void {
+    const victim = this.policy.chooseVictim(this.idle, user);
     if (this.size >= limit && victim) this.drop(victim);
-    this.open(user);
+    this.connect(user);
   }
 
-  open(user: MemberUser): void {
+  connect(user: MemberUser): void {
     this.countOpening(user, 1);
     const {service, instance, address} = this.member;
     const target = {service, user, instance, address};
@@ -311,7 +313,7 @@
    * kept for work to come. A share below one says that there are more
    * instances than connections.
    */
-  maintain(equalShare: number, keepsStandby: boolean): void {
+  closeIdle(equalShare: number, keepsStandby: boolean): void {
     this.equalShare = equalShare;
     const now = this.clock.now();
     for (const pooled of [...this.idle]) {
@@ -325,13 +327,13 @@
    * Takes what control granted, undefined where it grants nothing, and gives
    * back what is beyond it and rests; the longest rest first.
    */
-  keepTo(granted: number | undefined): void {
+  trimTo(granted: number | undefined): void {
     this.isGranted = granted !== undefined;
     const surplus = Math.max(0, this.size - (granted ?? Infinity));
     for (const pooled of this.idle.slice(0, surplus)) this.drop(pooled);
   }
 
-  private mostRest({user}: PooledLink, keepsStandby: boolean): number {
+  private mostRest({user}: PooledConnection, keepsStandby: boolean): number {
     if (this.equalShare < 1) return SCARCE_CLOSE_MS;
     const isSurplus = this.all.size > this.equalShare;
     if (user !== SHARED_USER) {
@@ -352,7 +354,7 @@
     // one of a few, for nobody.
     if (this.signal.aborted || this.isEnded) return link.close();
     const {instance} = this.member;
-    const pooled: PooledLink = {
+    const pooled: PooledConnection = {
       link,
       instance,
       user,
@@ -369,7 +371,7 @@
       this.drop(pooled);
       this.listener.onDidChange();
     });
-    this.listener.onDidOpen(instance, link.openedAt);
+    this.listener.onDidOpen(instance, link.positionAtOpen);
   }
 
   private onFailedOpening(failure: ConnectFailure, user: MemberUser): void {
@@ -380,7 +382,7 @@
       this.pausedUntil = now + pauseMs;
       this.fullPauseMs = Math.min(pauseMs * 2, MOST_FULL_PAUSE_MS);
       // The next try finds room where a resting one made place.
-      const victim = this.policy.victim(this.idle, user);
+      const victim = this.policy.chooseVictim(this.idle, user);
       if (victim) this.drop(victim);
     } else {
       this.suspectedSince ??= now;
@@ -391,7 +393,7 @@
     this.listener.onDidFailToOpen(this.member.instance, failure);
   }
 
-  private drop(pooled: PooledLink): void {
+  private drop(pooled: PooledConnection): void {
     if (!this.all.delete(pooled)) return;
     this.idle = this.idle.filter(item => item !== pooled);
     pooled.link.close();
--- a/src/services/dispatch/node/member_view.ts
+++ b/src/services/dispatch/node/member_view.ts
@@ -5,7 +5,7 @@
 import type {MemberPool} from './member_pool';
 
 /** What a member is looked at for. */
-export interface ViewNeed {
+export interface ViewOptions {
   readonly user: MemberUser;
   /** Whether a connection may be opened for it. */
   readonly mayOpen: boolean;
@@ -13,25 +13,25 @@
 }
 
 /** A member as a choice for one request sees it. */
-export function viewOf(
+export function makeMemberView(
   pool: MemberPool,
-  {user, mayOpen, isPrimary}: ViewNeed,
+  {user, mayOpen, isPrimary}: ViewOptions,
   limits: ConnectionLimits,
 ): MemberView {
   const {member} = pool;
   const hasIdle = pool.hasIdle(user);
-  const opens = () => mayOpen && pool.mayOpen(limits.limitOf(member), user);
+  const opens = () => mayOpen && pool.canConnect(limits.limitOf(member), user);
   return {
     instance: member.instance,
     isPrimary,
-    draining: member.draining,
-    avoided: pool.isFailing && !hasIdle,
-    running: pool.running,
+    isDraining: member.draining,
+    isFailing: pool.isFailing && !hasIdle,
+    runningCount: pool.runningCount,
     slots: member.slots,
     latencyMs: pool.latencyMs,
-    hasRoom: pool.hasWindow && (hasIdle || opens()),
-    needsOpening: !hasIdle && user !== SHARED_USER,
+    isAvailable: pool.hasWindow && (hasIdle || opens()),
+    needsConnect: !hasIdle && user !== SHARED_USER,
     lagMs: pool.lagMs,
-    sameRegion: limits.isNear(member),
+    isSameRegion: limits.isSameRegion(member),
   };
 }
--- a/src/services/dispatch/node/primary_probe.ts
+++ b/src/services/dispatch/node/primary_probe.ts
@@ -1,13 +1,19 @@
 import type {Clock} from '../../../base/common/clock';
 import type {TargetReply} from '../../statement/common/statement';
-import type {Observation, Return} from './dispatcher_messages';
-import type {PooledLink} from './member_pool';
+import type {
+  MemberObservation,
+  ReleasedConnection,
+} from './dispatcher_messages';
+import type {PooledConnection} from './member_pool';
 
 /** How long a probe may take, in milliseconds. */
 const PROBE_MS = 700;
 
 /** What a probe ends with: what it saw, and its connection. */
-export type ProbeListener = (observation: Observation, end: Return) => void;
+export type ProbeListener = (
+  observation: MemberObservation,
+  end: ReleasedConnection,
+) => void;
 
 /**
  * Asks a member whether it leads and what it holds. A plain begin is refused
@@ -26,7 +32,7 @@
   }
 
   /** Asks over a connection; the epoch is that of the lead in question. */
-  start(pooled: PooledLink, epoch: number): void {
+  start(pooled: PooledConnection, epoch: number): void {
     const {instance} = pooled;
     this.running.add(instance);
     const askedAt = this.clock.now();
@@ -47,12 +53,12 @@
         kind: outcomeOf(first),
       };
       const clean = last.kind === 'answer' && last.state === 'idle';
-      this.onDidEnd(observation, {pooled, clean});
+      this.onDidEnd(observation, {pooled, isClean: clean});
     });
   }
 }
 
-function outcomeOf(reply: TargetReply): Observation['kind'] {
+function outcomeOf(reply: TargetReply): MemberObservation['kind'] {
   if (reply.kind !== 'answer') return 'silent';
   if (reply.result.kind === 'done') return 'leads';
   return reply.result.failure === 'not primary' ? 'not primary' : 'answered';
--- a/src/services/dispatch/node/lead_witness.ts
+++ b/src/services/dispatch/node/primary_verifier.ts
@@ -4,29 +4,29 @@
   MemberStatus,
   StatusReader,
 } from '../../target_link/common/member_status';
-import {soleLeader, type MemberWord} from '../common/sole_leader';
-import type {PooledLink} from './member_pool';
+import {verifyPrimary, type MemberStatusReply} from '../common/verify_primary';
+import type {PooledConnection} from './member_pool';
 
 /** Somebody who waits for proof that a member was not replaced. */
-export interface WitnessWish {
+export interface PendingVerification {
   readonly epoch: number;
   /** The term of the member's log when it answered. */
   readonly term: number;
-  readonly until: number;
+  readonly deadline: number;
   settle(isProved: boolean): void;
 }
 
 /** What rounds of questions need of the connections to the members. */
-export interface WitnessLinks {
+export interface VerificationConnections {
   /** All members of the service. */
   instances(): readonly string[];
   /** A free connection; one is opened for the next round where none is. */
-  take(instance: string): PooledLink | undefined;
-  giveBack(pooled: PooledLink, clean: boolean): void;
+  take(instance: string): PooledConnection | undefined;
+  giveBack(pooled: PooledConnection, clean: boolean): void;
 }
 
 /** A member that was proved to lead, and since when that holds. */
-export interface WitnessedLead {
+export interface VerifiedPrimary {
   readonly instance: string;
   readonly epoch: number;
   readonly askedAt: number;
@@ -53,8 +53,8 @@
  * for an election, serves what it can reach. Before, its leases ran out after
  * 1.2 s and it refused all services for as long as the cut lasted.
  */
-export class LeadWitness {
-  private wishes: WitnessWish[] = [];
+export class PrimaryVerifier {
+  private wishes: PendingVerification[] = [];
   private isRunning = false;
   private startedAt = -Infinity;
   private provedAt = -Infinity;
@@ -64,10 +64,10 @@
   constructor(
     private readonly service: string,
     private readonly reader: StatusReader,
-    private readonly links: WitnessLinks,
+    private readonly links: VerificationConnections,
     private readonly clock: Clock,
     private readonly log: Log,
-    private readonly onDidProve: (lead: WitnessedLead) => void,
+    private readonly onDidProve: (lead: VerifiedPrimary) => void,
   ) {}
 
   /** When the last round that proved a lead began; -Infinity before any. */
@@ -81,15 +81,15 @@
     return isRecent && this.failures >= FAILURES_TO_DOUBT;
   }
 
-  add(wish: WitnessWish): void {
+  add(wish: PendingVerification): void {
     this.wishes.push(wish);
   }
 
   /** Gives up on wishes whose time is over, and asks again where some are left. */
   tend(lead: {instance: string; epoch: number}, isWanted: boolean): void {
     const now = this.clock.now();
-    const over = this.wishes.filter(({until, epoch}) => {
-      return until <= now || epoch !== lead.epoch;
+    const over = this.wishes.filter(({deadline, epoch}) => {
+      return deadline <= now || epoch !== lead.epoch;
     });
     this.wishes = this.wishes.filter(wish => !over.includes(wish));
     for (const wish of over) wish.settle(false);
@@ -119,7 +119,7 @@
     const waiting = [...this.wishes];
     void Promise.all(links.map(pooled => this.ask(pooled))).then(words => {
       this.isRunning = false;
-      const status = soleLeader(instance, words);
+      const status = verifyPrimary(instance, words);
       this.note(instance, words, status !== undefined);
       this.failures = status ? 0 : this.failures + 1;
       if (!status) return;
@@ -130,7 +130,7 @@
   }
 
   /** Only what was answered before the round began, in the same term. */
-  private settle(waiting: readonly WitnessWish[], term: number): void {
+  private settle(waiting: readonly PendingVerification[], term: number): void {
     const proved = waiting.filter(wish => {
       return wish.term === term && this.wishes.includes(wish);
     });
@@ -138,7 +138,7 @@
     for (const wish of proved) wish.settle(true);
   }
 
-  private async ask(pooled: PooledLink): Promise<MemberWord> {
+  private async ask(pooled: PooledConnection): Promise<MemberStatusReply> {
     const {link, instance} = pooled;
     const timer = setTimeout(() => link.close(), ANSWER_MS);
     const [promise] = link.send([
@@ -155,7 +155,7 @@
   /** Says when proof by the members begins and ends to hold, and why. */
   private note(
     instance: string,
-    words: readonly MemberWord[],
+    words: readonly MemberStatusReply[],
     isProved: boolean,
   ): void {
     const sentence = isProved
@@ -168,7 +168,7 @@
   }
 }
 
-function describe({instance, status}: MemberWord): string {
+function describe({instance, status}: MemberStatusReply): string {
   if (!status) return `${instance}:silent`;
-  return `${instance}:${status.leads ? 'leads' : 'follows'}:${status.term}`;
+  return `${instance}:${status.isPrimary ? 'leads' : 'follows'}:${status.term}`;
 }
--- a/src/services/dispatch/node/service_dispatcher.ts
+++ b/src/services/dispatch/node/service_dispatcher.ts
@@ -11,46 +11,43 @@
 } from '../../target_link/common/target_link';
 import {PositionSamples} from '../../freshness/common/position_samples';
 import {laterPosition, type Position} from '../../position/common/position';
-import {PrimaryBelief} from '../common/primary_belief';
+import {CurrentPrimary} from '../common/current_primary';
 import {PrimaryOutage} from '../common/primary_outage';
-import {chooseForRead, type MemberView} from '../common/choose_member';
-import type {ConnectionSharers} from '../common/connection_share';
-import type {PlaceRequest, PlaceWait} from '../common/place_request';
-import {RequestOpenings} from '../common/request_openings';
-import {WaitingRequests} from '../common/waiting_requests';
+import {chooseReadMember, type MemberView} from '../common/choose_member';
+import type {ConnectionPeers} from '../common/connection_share';
+import type {CheckoutRequest, CheckoutWait} from '../common/checkout_request';
+import {PendingConnects} from '../common/pending_connects';
+import {CheckoutQueue} from '../common/checkout_queue';
 import {ConnectionLimits} from './connection_limits';
 import type {
   DispatcherMessage,
-  DispatcherSurroundings,
-  Grant,
-  Observation,
-  ProofWish,
-  Return,
+  DispatcherDependencies,
+  Checkout,
+  MemberObservation,
+  VerificationRequest,
+  ReleasedConnection,
 } from './dispatcher_messages';
-import {LeadWitness, type WitnessedLead} from './lead_witness';
+import {PrimaryVerifier, type VerifiedPrimary} from './primary_verifier';
 import {MemberDemand} from './member_demand';
-import {MemberPool, type PooledLink} from './member_pool';
-import {viewOf} from './member_view';
+import {MemberPool, type PooledConnection} from './member_pool';
+import {makeMemberView} from './member_view';
 import {PrimaryProbe} from './primary_probe';
 
 /** Requests, connections and outages are looked at this often, in ms. */
 const TICK_MS = 50;
-/** The same where there are none, in milliseconds. */
 const REST_TICK_MS = 250;
 /** Without a sample this new, the primary is asked for one, in ms. */
 const SAMPLE_EVERY_MS = 400;
 /** Samples and proofs are asked for only while requests come, in ms. */
 const INTEREST_MS = 2_000;
 /**
- * Members prove a lead for so long after the last lease on it, in milliseconds:
- * in that time no member that this instance never heard of can have come,
- * caught up and taken the lead from all that it knows.
+ * Members prove a lead for this long after the last lease on it, in ms: no
+ * member that is unknown here can have joined and taken the lead in that time.
  */
 const WITNESS_MS = 8_000;
 /**
- * A lease that ran out is mostly renewed within this, in milliseconds. Later,
- * no work goes to a primary that the members do not prove to lead: it would
- * take slots there, and its answers would be of no use.
+ * A lease that ran out is mostly renewed within this, in ms. Later, work that
+ * goes to a primary without a proof by the members would only take its slots.
  */
 const LAPSE_MS = 300;
 /** While there is no primary, members are asked this often, in ms. */
@@ -61,15 +58,15 @@
   private readonly mailbox = new Mailbox<DispatcherMessage>();
   private readonly pools = new Map<string, MemberPool>();
   private readonly samples = new PositionSamples();
-  private readonly belief = new PrimaryBelief();
+  private readonly belief = new CurrentPrimary();
   private readonly outage = new PrimaryOutage();
-  private readonly waiting = new WaitingRequests<Grant>(this.outage);
-  private readonly openings = new RequestOpenings<PlaceRequest<Grant>>();
+  private readonly waiting = new CheckoutQueue<Checkout>(this.outage);
+  private readonly openings = new PendingConnects<CheckoutRequest<Checkout>>();
   private lastRead = -Infinity;
   private lastRequest = -Infinity;
   private isByClass = false;
   private readonly probe: PrimaryProbe;
-  private readonly witness: LeadWitness;
+  private readonly witness: PrimaryVerifier;
   private searchedAt = -Infinity;
   private judged = '';
   private changedQueued = false;
@@ -78,7 +75,7 @@
   private readonly limits: ConnectionLimits;
   private readonly demand: MemberDemand;
 
-  constructor(private readonly around: DispatcherSurroundings) {
+  constructor(private readonly around: DispatcherDependencies) {
     const {service} = around;
     this.limits = new ConnectionLimits(around);
     this.demand = new MemberDemand(around, this.limits);
@@ -86,14 +83,14 @@
       this.mailbox.post({kind: 'observed', observation});
       this.mailbox.post({kind: 'return', returned});
     });
-    this.witness = new LeadWitness(
+    this.witness = new PrimaryVerifier(
       service,
       around.statusReader,
       {
         instances: () => [...this.pools.keys()],
         take: instance => this.takeForWitness(instance),
-        giveBack: (pooled, clean) => {
-          this.mailbox.post({kind: 'return', returned: {pooled, clean}});
+        giveBack: (pooled, isClean) => {
+          this.mailbox.post({kind: 'return', returned: {pooled, isClean}});
         },
       },
       around.clock,
@@ -114,8 +111,8 @@
   }
 
   /** How long new work would wait at present; nothing where none waits. */
-  get waits(): PlaceWait[] {
-    return this.waiting.waits(this.now());
+  get expectedWaits(): CheckoutWait[] {
+    return this.waiting.expectedWaits(this.now());
   }
 
   /** False where the mailbox is full. */
@@ -149,11 +146,11 @@
       case 'definition':
         this.limits.setDefinition(message.definition);
         this.isByClass = message.isByClass;
-        this.waiting.setByClass(message.isByClass);
+        this.waiting.setUsesClasses(message.isByClass);
         return;
-      case 'lead':
+      case 'primary':
         return this.onLead(message.lead);
-      case 'witness':
+      case 'verify':
         return this.onProofWish(message.wish);
       case 'changed':
         this.changedQueued = false;
@@ -165,11 +162,11 @@
 
   // ---- Requests ----
 
-  private onRequest(request: PlaceRequest<Grant>): void {
+  private onRequest(request: CheckoutRequest<Checkout>): void {
     const now = this.now();
     this.lastRequest = now;
     if (request.user !== SHARED_USER) this.limits.onAccount();
-    if (request.need.kind === 'read') this.lastRead = now;
+    if (request.requirement.kind === 'read') this.lastRead = now;
     this.waiting.add(request, now);
     this.dispatch();
   }
@@ -182,54 +179,66 @@
     this.demand.onServing();
     this.waiting.serve(now, request => {
       const grant = this.place(request);
-      if (!grant) this.demand.onUnplaced(request.need);
+      if (!grant) this.demand.onUnserved(request.requirement);
       return grant;
     });
   }
 
   /**
-   * Guard: a connection that was opened for an account would be closed unused
-   * for the next one in the queue, and each opening for another one again. It
-   * serves the request that it was opened for first.
+   * Guard: a connection serves the request that it was opened for first; the
+   * next account in the queue would close it unused, and so on in turn.
    */
-  private placeOnOpened(request: PlaceRequest<Grant>): Grant | undefined {
-    const instance = this.openings.awaitedBy(request, this.now());
+  private placeOnOpened(
+    request: CheckoutRequest<Checkout>,
+  ): Checkout | undefined {
+    const instance = this.openings.instanceFor(request, this.now());
     const pool = this.pools.get(instance ?? '');
     return pool?.hasIdle(request.user) ? this.place(request) : undefined;
   }
 
-  private place(request: PlaceRequest<Grant>): Grant | undefined {
-    const {need} = request;
-    if (need.kind === 'primary') return this.placeOnPrimary(request);
-    const covering = this.samples.covering(need.coversTime);
-    const {own} = need;
-    const floor =
-      covering && own ? laterPosition(covering, own.position) : covering;
-    if (!floor) {
+  private place(request: CheckoutRequest<Checkout>): Checkout | undefined {
+    const {requirement} = request;
+    if (requirement.kind === 'primary') return this.placeOnPrimary(request);
+    const covering = this.samples.findCovering(requirement.minReadAt);
+    const {ownCommit} = requirement;
+    const minPosition =
+      covering && ownCommit
+        ? laterPosition(covering, ownCommit.position)
+        : covering;
+    if (!minPosition) {
       this.probePrimary();
       if (!this.isProvable) return undefined;
     }
     const views = this.views(request);
-    const {passed} = request;
-    const newest = Math.max(need.coversTime, own?.at ?? -Infinity);
-    const mostLagMs = this.now() - newest;
+    const {triedInstances} = request;
+    const newest = Math.max(
+      requirement.minReadAt,
+      ownCommit?.acknowledgedAt ?? -Infinity,
+    );
+    const maxLagMs = this.now() - newest;
     const chosen =
-      chooseForRead(views, {floor, mostLagMs, passed}) ??
-      chooseForRead(views, {floor, mostLagMs, passed: NO_MEMBERS});
+      chooseReadMember(views, {minPosition, maxLagMs, triedInstances}) ??
+      chooseReadMember(views, {
+        minPosition,
+        maxLagMs,
+        triedInstances: NO_MEMBERS,
+      });
     if (!chosen) return undefined;
-    return this.take(chosen.instance, request, floor);
+    return this.take(chosen.instance, request, minPosition);
   }
 
-  private placeOnPrimary(request: PlaceRequest<Grant>): Grant | undefined {
-    if (!this.belief.isStanding || !this.isProvable) return undefined;
+  private placeOnPrimary(
+    request: CheckoutRequest<Checkout>,
+  ): Checkout | undefined {
+    if (!this.belief.isUsable || !this.isProvable) return undefined;
     return this.take(this.belief.instance, request, undefined);
   }
 
   private take(
     instance: string,
-    request: PlaceRequest<Grant>,
+    request: CheckoutRequest<Checkout>,
     after: Position | undefined,
-  ): Grant | undefined {
+  ): Checkout | undefined {
     const pool = this.pools.get(instance);
     if (!pool) return undefined;
     const pooled = pool.hasWindow && pool.checkout(request);
@@ -239,52 +248,55 @@
     }
     const isPrimary = this.isPrimary(instance);
     const epoch = isPrimary ? this.belief.epoch : NO_EPOCH;
-    return {pooled, isPrimary, epoch, after};
+    return {pooled, isPrimary, epoch, minPosition: after};
   }
 
-  private openFor(request: PlaceRequest<Grant>, pool: MemberPool): void {
+  private openFor(request: CheckoutRequest<Checkout>, pool: MemberPool): void {
     const {user} = request;
     const limit = this.limits.limitOf(pool.member);
     // Those that wait before it get what is being opened.
-    if (pool.openingsFor(user) > this.demand.unplaced) return;
-    if (this.awaitsOpening(request) || !pool.mayOpen(limit, user)) return;
-    pool.openWithin(limit, user);
-    this.openings.note(request, pool.member.instance, this.now());
+    if (pool.connectingCountOf(user) > this.demand.unservedCount) return;
+    if (this.awaitsOpening(request) || !pool.canConnect(limit, user)) return;
+    pool.connectWithin(limit, user);
+    this.openings.set(request, pool.member.instance, this.now());
   }
 
-  private awaitsOpening(request: PlaceRequest<Grant>): boolean {
+  private awaitsOpening(request: CheckoutRequest<Checkout>): boolean {
     if (request.user === SHARED_USER) return false;
-    const instance = this.openings.awaitedBy(request, this.now());
+    const instance = this.openings.instanceFor(request, this.now());
     if (instance === undefined) return false;
     const pool = this.pools.get(instance);
-    return pool !== undefined && pool.openingsFor(request.user) > 0;
+    return pool !== undefined && pool.connectingCountOf(request.user) > 0;
   }
 
-  private views(request: PlaceRequest<Grant>): MemberView[] {
+  private views(request: CheckoutRequest<Checkout>): MemberView[] {
     const {user} = request;
     const mayOpen = !this.awaitsOpening(request);
     return [...this.pools.values()].map(pool => {
       const isPrimary = this.isPrimary(pool.member.instance);
-      return viewOf(pool, {user, mayOpen, isPrimary}, this.limits);
+      return makeMemberView(pool, {user, mayOpen, isPrimary}, this.limits);
     });
   }
 
   private keepsStandby({member}: MemberPool): boolean {
-    return this.limits.keepsStandby(member, this.isPrimary(member.instance));
+    return this.limits.keepsIdleConnection(
+      member,
+      this.isPrimary(member.instance),
+    );
   }
 
-  private onReturn({pooled, clean}: Return): void {
+  private onReturn({pooled, isClean}: ReleasedConnection): void {
     const pool = this.pools.get(pooled.instance);
     if (pool) {
-      pool.release(pooled, clean);
-      this.demand.giveBack(pool);
+      pool.release(pooled, isClean);
+      this.demand.trim(pool);
     } else pooled.link.close();
     this.dispatch();
   }
 
   // ---- Members ----
 
-  private onObserved(observation: Observation): void {
+  private onObserved(observation: MemberObservation): void {
     const {instance, askedAt, answeredAt, position, kind} = observation;
     const pool = this.pools.get(instance);
     if (!pool) return;
@@ -294,9 +306,9 @@
     }
     if (kind === 'busy') pool.onBusy();
     else pool.onAnswer(answeredAt - askedAt);
-    if (position) pool.onLag(this.samples.lagOf(position, askedAt));
+    if (position) pool.onLag(this.samples.minLagMs(position, askedAt));
     if (kind === 'leads' && position) this.onLeading(observation, position);
-    if (kind === 'not primary' && this.belief.deny(instance)) {
+    if (kind === 'not primary' && this.belief.markDemoted(instance)) {
       const {service, log} = this.around;
       log.info('A member says that it does not lead.', {service, instance});
       this.judgePrimary();
@@ -309,7 +321,7 @@
    * replaced goes on saying so, and what it holds is not the newest.
    */
   private onLeading(
-    {instance, askedAt, epoch}: Observation,
+    {instance, askedAt, epoch}: MemberObservation,
     position: Position,
   ): void {
     const {leases, service} = this.around;
@@ -320,22 +332,27 @@
 
   // ---- Proof without control ----
 
-  private onProofWish({epoch, term, timeMs, settle}: ProofWish): void {
-    const until = this.now() + timeMs;
-    this.witness.add({epoch, term, until, settle});
+  private onProofWish({
+    epoch,
+    term,
+    timeoutMs,
+    settle,
+  }: VerificationRequest): void {
+    const until = this.now() + timeoutMs;
+    this.witness.add({epoch, term, deadline: until, settle});
     this.tendWitness();
   }
 
   /** For how long the lease on the lead in force has been over, in ms. */
   private get lapsedMs(): number {
     const {leases, service} = this.around;
-    return leases.lapsedMs(service, this.belief.epoch);
+    return leases.expiredForMs(service, this.belief.epoch);
   }
 
   /** Whether control's leases ran out, and the members may speak for them. */
   private get needsWitness(): boolean {
     const {lapsedMs} = this;
-    return this.belief.isStanding && lapsedMs > 0 && lapsedMs < WITNESS_MS;
+    return this.belief.isUsable && lapsedMs > 0 && lapsedMs < WITNESS_MS;
   }
 
   private get isAsked(): boolean {
@@ -355,26 +372,33 @@
     this.witness.tend(this.belief, this.isAsked && isOld);
   }
 
-  private takeForWitness(instance: string): PooledLink | undefined {
+  private takeForWitness(instance: string): PooledConnection | undefined {
     const pool = this.pools.get(instance);
     const pooled = pool?.checkoutAny();
-    if (!pooled && pool?.size === 0 && pool.mayOpen(1)) pool.open(SHARED_USER);
+    if (!pooled && pool?.size === 0 && pool.canConnect(1)) {
+      pool.connect(SHARED_USER);
+    }
     return pooled;
   }
 
-  private onWitnessed({instance, epoch, askedAt, status}: WitnessedLead): void {
+  private onWitnessed({
+    instance,
+    epoch,
+    askedAt,
+    status,
+  }: VerifiedPrimary): void {
     if (!this.isPrimary(instance) || epoch !== this.belief.epoch) return;
-    this.samples.add(askedAt, status.received);
+    this.samples.add(askedAt, status.receivedPosition);
     this.noteChange();
   }
 
   private restore(source: string): void {
-    if (this.belief.confirm(this.belief.instance)) this.noteBelief(source);
+    if (this.belief.markPromoted(this.belief.instance)) this.noteBelief(source);
     this.judgePrimary();
   }
 
   private onLead({instance, epoch}: PrimaryAssignment): void {
-    if (!this.belief.take(instance, epoch)) return;
+    if (!this.belief.update(instance, epoch)) return;
     this.noteBelief('control');
     this.judgePrimary();
     this.dispatch();
@@ -392,16 +416,16 @@
 
   private onMembers(
     members: readonly Member[],
-    sharers: ConnectionSharers,
+    sharers: ConnectionPeers,
   ): void {
-    this.limits.setSharers(sharers);
+    this.limits.setPeers(sharers);
     const own = members.filter(({service}) => service === this.around.service);
     for (const member of own) this.onMember(member);
     for (const [instance, pool] of this.pools) {
       if (own.some(member => member.instance === instance)) continue;
       pool.closeAll();
       this.pools.delete(instance);
-      this.around.room.forget(this.around.service, instance);
+      this.around.connectionQuota.removeMember(this.around.service, instance);
       const {service, log} = this.around;
       log.info('Forgets a member.', {service, instance});
     }
@@ -440,12 +464,16 @@
       this.signal,
     );
     this.pools.set(instance, pool);
-    if (this.keepsStandby(pool)) pool.open(SHARED_USER);
+    if (this.keepsStandby(pool)) pool.connect(SHARED_USER);
   }
 
   private onFull(instance: string): void {
     const open = this.pools.get(instance)?.size ?? 0;
-    this.around.room.onFull(this.around.service, instance, open);
+    this.around.connectionQuota.onDidRefuseConnection(
+      this.around.service,
+      instance,
+      open,
+    );
   }
 
   private noteChange(): void {
@@ -453,20 +481,19 @@
     this.changedQueued = this.mailbox.post({kind: 'changed'});
   }
 
-  /** Says when trouble with the primary begins and ends. */
   private judgePrimary(): void {
-    const {instance, isStanding} = this.belief;
+    const {instance, isUsable: isStanding} = this.belief;
     const pool = this.pools.get(instance);
     // While control replaces a primary it names nobody for a moment.
     const isReplaced = instance === '' && this.belief.epoch > 0;
     const isLost = pool ? pool.isFailing || !this.isProvable : !isReplaced;
     const state = isStanding ? 'serving' : 'deposed';
-    this.outage.note(isLost ? 'lost' : state, this.now());
+    this.outage.setState(isLost ? 'lost' : state, this.now());
     const trouble = pool?.isFailing ? 'unreachable' : '';
     const judgement = `${instance} ${trouble}`;
     if (judgement === this.judged) return;
     this.judged = judgement;
-    this.around.onDidJudgePrimary(instance, trouble);
+    this.around.onDidAssessPrimary(instance, trouble);
   }
 
   // ---- Time ----
@@ -474,34 +501,36 @@
   /** Whether nobody waits, asked lately, or holds what has to be given back. */
   private get isAtRest(): boolean {
     if (this.waiting.size > 0 || this.isAsked) return false;
-    if (this.outage.expectedEnd(this.now()) !== undefined) return false;
+    if (this.outage.expectedEndAt(this.now()) !== undefined) return false;
     return [...this.pools.values()].every(pool => {
-      return pool.isAtRest(this.keepsStandby(pool));
+      return pool.isQuiescent(this.keepsStandby(pool));
     });
   }
 
   private onTick(): void {
     const now = this.now();
     for (const pool of this.pools.values()) {
-      this.demand.giveBack(pool);
+      this.demand.trim(pool);
       const isKept = this.keepsStandby(pool);
-      pool.maintain(this.limits.shareOf(pool.member), isKept);
-      if (isKept && pool.size === 0 && pool.mayOpen(1)) pool.open(SHARED_USER);
+      pool.closeIdle(this.limits.shareOf(pool.member), isKept);
+      if (isKept && pool.size === 0 && pool.canConnect(1)) {
+        pool.connect(SHARED_USER);
+      }
     }
     this.judgePrimary();
     this.searchPrimary(now);
-    this.waiting.giveUp(now);
+    this.waiting.expire(now);
     this.tendWitness();
     const wanted = now - this.lastRead < INTEREST_MS;
-    const isOld = now - this.samples.newestAt > SAMPLE_EVERY_MS;
+    const isOld = now - this.samples.newestAskedAt > SAMPLE_EVERY_MS;
     if (wanted && isOld) this.probePrimary();
     this.dispatch();
-    this.demand.tell(this.pools.values(), this.belief.instance);
+    this.demand.report(this.pools.values(), this.belief.instance);
   }
 
   /** Asks the primary for its position where no request did lately. */
   private probePrimary(): void {
-    if (!this.belief.isStanding) return;
+    if (!this.belief.isUsable) return;
     const pool = this.pools.get(this.belief.instance);
     if (pool) this.probeMember(pool);
   }
@@ -512,11 +541,11 @@
    * leader is lost.
    */
   private searchPrimary(now: number): void {
-    if (this.outage.expectedEnd(now) === undefined) return;
+    if (this.outage.expectedEndAt(now) === undefined) return;
     if (now - this.searchedAt < SEARCH_EVERY_MS) return;
     this.searchedAt = now;
     const pool = this.pools.get(this.belief.instance);
-    if (pool && !this.belief.isStanding) this.probeMember(pool);
+    if (pool && !this.belief.isUsable) this.probeMember(pool);
   }
 
   private probeMember(pool: MemberPool): void {
@@ -524,7 +553,7 @@
     const pooled = pool.checkoutAny();
     if (pooled) return this.probe.start(pooled, this.belief.epoch);
     const limit = this.limits.limitOf(pool.member);
-    if (pool.size === 0 && pool.mayOpen(limit)) pool.open(SHARED_USER);
+    if (pool.size === 0 && pool.canConnect(limit)) pool.connect(SHARED_USER);
   }
 
   private now(): number {
--- a/src/services/dispatch/test/common/waiting_requests.test.ts
+++ b/src/services/dispatch/test/common/checkout_queue.test.ts
@@ -2,9 +2,12 @@
 import {describe, expect, it} from 'vitest';
 import {callerName} from '../../../../base/common/ids';
 import type {Result} from '../../../../base/common/outcome';
-import type {PlaceRefusal, PlaceRequest} from '../../common/place_request';
+import type {
+  CheckoutRefusal,
+  CheckoutRequest,
+} from '../../common/checkout_request';
 import {PrimaryOutage} from '../../common/primary_outage';
-import {WaitingRequests} from '../../common/waiting_requests';
+import {CheckoutQueue} from '../../common/checkout_queue';
 
 /** Callers expect 800 to 1,000 ms of an operation; a quarter is for waiting. */
 const PATIENCE_MS = 250;
@@ -17,7 +20,7 @@
  */
 class Load {
   readonly outage = new PrimaryOutage();
-  readonly waiting = new WaitingRequests<string>(this.outage);
+  readonly waiting = new CheckoutQueue<string>(this.outage);
   readonly waits: number[] = [];
   /** Waits with what went before them. */
   readonly totals: number[] = [];
@@ -33,7 +36,7 @@
       for (; this.arrived >= 1_000; this.arrived -= 1_000) this.arrive();
       this.places = Math.min(1_000, this.places + placesPerS);
       this.waiting.serve(this.now, () => this.place());
-      if (this.now % 50 === 0) this.waiting.giveUp(this.now);
+      if (this.now % 50 === 0) this.waiting.expire(this.now);
     }
   }
 
@@ -48,18 +51,18 @@
     const need =
       kind === 'primary'
         ? ({kind} as const)
-        : ({kind, coversTime: since, own: undefined} as const);
-    const request: PlaceRequest<string> = {
+        : ({kind, minReadAt: since, ownCommit: undefined} as const);
+    const request: CheckoutRequest<string> = {
       caller: callerName(`c${since % 20}`),
       priority: 2,
       deadline: since + STATEMENT_MS,
       dueAt: since - waitedBeforeMs + OBJECTIVE_MS,
-      since,
-      patienceMs: PATIENCE_MS,
-      need,
+      requestedAt: since,
+      waitBudgetMs: PATIENCE_MS,
+      requirement: need,
       user: SHARED_USER,
       values: new Map(),
-      passed: new Set(),
+      triedInstances: new Set(),
       settle: outcome => this.onSettled(since, waitedBeforeMs, outcome),
     };
     this.waiting.add(request, this.now);
@@ -74,7 +77,7 @@
   private onSettled(
     since: number,
     waitedBeforeMs: number,
-    outcome: Result<string, PlaceRefusal>,
+    outcome: Result<string, CheckoutRefusal>,
   ) {
     const waitedMs = this.now - since;
     if (outcome.isOk) this.totals.push(waitedMs + waitedBeforeMs);
@@ -142,14 +145,14 @@
     // The primary is lost and will be replaced within 1.8 s. A statement with
     // 800 ms has no chance at first; one that comes in the last 800 ms waits.
     const load = new Load();
-    load.outage.note('lost', 0);
+    load.outage.setState('lost', 0);
     load.arrive('primary');
     expect(load.refusals).toHaveLength(1);
     load.now = 1_200;
     load.arrive('primary');
     load.run(500, 0, 0);
     expect(load.refusals).toHaveLength(1);
-    load.outage.note('serving', load.now);
+    load.outage.setState('serving', load.now);
     load.run(20, 0, 100);
     expect(load.waits).toHaveLength(1);
   });
--- a/src/services/dispatch/test/common/choose_member.test.ts
+++ b/src/services/dispatch/test/common/choose_member.test.ts
@@ -1,30 +1,30 @@
 import {describe, expect, it} from 'vitest';
-import {chooseForRead, type MemberView} from '../../common/choose_member';
+import {chooseReadMember, type MemberView} from '../../common/choose_member';
 
 const member = (over: Partial<MemberView> = {}): MemberView => ({
   instance: 'a',
   isPrimary: false,
-  draining: false,
-  avoided: false,
-  running: 0,
+  isDraining: false,
+  isFailing: false,
+  runningCount: 0,
   slots: 2,
   latencyMs: 20,
-  hasRoom: true,
-  needsOpening: false,
+  isAvailable: true,
+  needsConnect: false,
   lagMs: 0,
-  sameRegion: true,
+  isSameRegion: true,
   ...over,
 });
 
 const PRIMARY = member({instance: 'p', isPrimary: true});
 const NEED = {
-  floor: {term: 1, offset: 5},
-  mostLagMs: 1_500,
-  passed: new Set<string>(),
+  minPosition: {term: 1, offset: 5},
+  maxLagMs: 1_500,
+  triedInstances: new Set<string>(),
 };
 
 const chosen = (members: MemberView[], need = NEED) => {
-  return chooseForRead(members, need)?.instance;
+  return chooseReadMember(members, need)?.instance;
 };
 
 describe('the choice of a member for a read', () => {
@@ -33,19 +33,19 @@
   });
 
   it('takes the near primary rather than a far replica, at rest', () => {
-    expect(chosen([PRIMARY, member({sameRegion: false})])).toBe('p');
+    expect(chosen([PRIMARY, member({isSameRegion: false})])).toBe('p');
   });
 
   it('leaves the near primary under load', () => {
     // The heaviest hours: the near primary's slots are full with writes. A far
     // replica costs a way between regions and answers sooner all the same.
-    const busy = {...PRIMARY, running: 5, latencyMs: 60};
-    expect(chosen([busy, member({sameRegion: false})])).toBe('a');
+    const busy = {...PRIMARY, runningCount: 5, latencyMs: 60};
+    expect(chosen([busy, member({isSameRegion: false})])).toBe('a');
   });
 
   it('asks only the primary where no position says what is new enough', () => {
-    const need = {...NEED, floor: undefined};
-    expect(chooseForRead([PRIMARY, member()], need)?.instance).toBe('p');
+    const need = {...NEED, minPosition: undefined};
+    expect(chooseReadMember([PRIMARY, member()], need)?.instance).toBe('p');
   });
 
   it('spares replicas that were seen too far behind', () => {
@@ -54,17 +54,17 @@
     // statements went that way, and reads were refused for want of time.
     const members = [PRIMARY, member({lagMs: 2_000})];
     expect(chosen(members)).toBe('p');
-    expect(chosen(members, {...NEED, mostLagMs: 2_500})).toBe('a');
+    expect(chosen(members, {...NEED, maxLagMs: 2_500})).toBe('a');
   });
 
   it('never takes a member that leaves, fails or was tried', () => {
     const passed = new Set(['c']);
     const members = [
-      member({instance: 'a', draining: true}),
-      member({instance: 'b', avoided: true}),
+      member({instance: 'a', isDraining: true}),
+      member({instance: 'b', isFailing: true}),
       member({instance: 'c'}),
-      member({instance: 'd', hasRoom: false}),
+      member({instance: 'd', isAvailable: false}),
     ];
-    expect(chosen(members, {...NEED, passed})).toBeUndefined();
+    expect(chosen(members, {...NEED, triedInstances: passed})).toBeUndefined();
   });
 });
--- a/src/services/dispatch/test/common/sole_leader.test.ts
+++ b/src/services/dispatch/test/common/verify_primary.test.ts
@@ -1,26 +1,35 @@
 import {describe, expect, it} from 'vitest';
 import {SeededRandom} from '../../../../base/common/random';
 import type {MemberStatus} from '../../../target_link/common/member_status';
-import {soleLeader, type MemberWord} from '../../common/sole_leader';
+import {
+  verifyPrimary,
+  type MemberStatusReply,
+} from '../../common/verify_primary';
 
 const at = (term: number) => ({term, offset: 10});
 
-const leads = (instance: string, term: number): MemberWord => {
-  return {instance, status: {leads: true, term, received: at(term)}};
+const leads = (instance: string, term: number): MemberStatusReply => {
+  return {
+    instance,
+    status: {isPrimary: true, term, receivedPosition: at(term)},
+  };
 };
 
-const follows = (instance: string, term: number): MemberWord => {
-  return {instance, status: {leads: false, term, received: at(term)}};
+const follows = (instance: string, term: number): MemberStatusReply => {
+  return {
+    instance,
+    status: {isPrimary: false, term, receivedPosition: at(term)},
+  };
 };
 
-const silent = (instance: string): MemberWord => {
+const silent = (instance: string): MemberStatusReply => {
   return {instance, status: undefined};
 };
 
 describe('the words of the members', () => {
   it('prove a lead that all others follow', () => {
     const words = [leads('a', 2), follows('b', 2), follows('c', 1)];
-    expect(soleLeader('a', words)?.term).toBe(2);
+    expect(verifyPrimary('a', words)?.term).toBe(2);
   });
 
   it.each([
@@ -31,14 +40,14 @@
     ['it is silent itself', [silent('a'), follows('b', 1)]],
     ['it is alone', [leads('a', 1)]],
   ])('prove nothing where %s', (...[, words]) => {
-    expect(soleLeader('a', words)).toBeUndefined();
+    expect(verifyPrimary('a', words)).toBeUndefined();
   });
 });
 
 /** Members of which any may be promoted while others hear of it late. */
 class Members {
   readonly statuses: MemberStatus[] = [0, 1, 2].map(index => {
-    return {leads: index === 0, term: 1, received: at(1)};
+    return {isPrimary: index === 0, term: 1, receivedPosition: at(1)};
   });
   newest = {holder: 0, term: 1};
 
@@ -51,10 +60,14 @@
     if (random.integer(0, 3) === 0) {
       const term = newest.term + 1;
       this.newest = {holder: index, term};
-      statuses[index] = {leads: true, term, received: at(newest.term)};
+      statuses[index] = {
+        isPrimary: true,
+        term,
+        receivedPosition: at(newest.term),
+      };
     } else if (index !== newest.holder && random.integer(0, 1) === 0) {
       const {term} = newest;
-      statuses[index] = {leads: false, term, received: at(term)};
+      statuses[index] = {isPrimary: false, term, receivedPosition: at(term)};
     }
   }
 }
@@ -70,12 +83,12 @@
     for (let step = random.integer(0, 12); step > 0; step--) members.change();
     const before = members.newest;
     const asked = random.integer(0, 2);
-    const words: MemberWord[] = [];
+    const words: MemberStatusReply[] = [];
     for (const index of [0, 1, 2]) {
       for (let step = random.integer(0, 2); step > 0; step--) members.change();
       words.push({instance: `${index}`, status: members.statuses[index]});
     }
-    const status = soleLeader(`${asked}`, words);
+    const status = verifyPrimary(`${asked}`, words);
     if (!status) continue;
     proofs++;
     // One that was promoted during the round proves its newer term only.
--- a/src/services/dispatch/test/common/waiting_by_class.test.ts
+++ b/src/services/dispatch/test/common/waiting_by_class.test.ts
@@ -2,9 +2,12 @@
 import {callerName} from '../../../../base/common/ids';
 import type {Result} from '../../../../base/common/outcome';
 import {SHARED_USER} from '../../../target_link/common/target_link';
-import type {PlaceRefusal, PlaceRequest} from '../../common/place_request';
+import type {
+  CheckoutRefusal,
+  CheckoutRequest,
+} from '../../common/checkout_request';
 import {PrimaryOutage} from '../../common/primary_outage';
-import {WaitingRequests} from '../../common/waiting_requests';
+import {CheckoutQueue} from '../../common/checkout_queue';
 
 /** One kind of request: what its callers expect, and how long it may wait. */
 interface Kind {
@@ -34,13 +37,13 @@
 /** What became of the requests of one kind. */
 class Outcomes {
   readonly waits: number[] = [];
-  readonly refusals: (PlaceRefusal & {waitedMs: number})[] = [];
+  readonly refusals: (CheckoutRefusal & {waitedMs: number})[] = [];
 }
 
 /** Load of several kinds, a millisecond a step; no sockets, no timers. */
 class MixedLoad {
   readonly outage = new PrimaryOutage();
-  readonly waiting = new WaitingRequests<string>(this.outage);
+  readonly waiting = new CheckoutQueue<string>(this.outage);
   readonly outcomes = new Map<number, Outcomes>();
   now = 0;
   isPrimaryCut = false;
@@ -49,7 +52,7 @@
   private readonly places = {primary: 0, read: 0};
 
   constructor() {
-    this.waiting.setByClass(true);
+    this.waiting.setUsesClasses(true);
   }
 
   run(
@@ -64,7 +67,7 @@
         this.places[need] = Math.min(1_000, sum);
       }
       this.waiting.serve(this.now, request => this.place(request));
-      if (this.now % 50 === 0) this.waiting.giveUp(this.now);
+      if (this.now % 50 === 0) this.waiting.expire(this.now);
     }
   }
 
@@ -74,22 +77,22 @@
     return known;
   }
 
-  arrive(kind: Kind): PlaceRequest<string> {
+  arrive(kind: Kind): CheckoutRequest<string> {
     const since = this.now;
     const {priority, needsPrimary, objectiveMs, patienceMs} = kind;
-    const request: PlaceRequest<string> = {
+    const request: CheckoutRequest<string> = {
       caller: callerName(`c${priority}-${since % 20}`),
       priority,
       deadline: since + Math.max(1_000, objectiveMs),
       dueAt: since + objectiveMs,
-      since,
-      patienceMs,
-      need: needsPrimary
+      requestedAt: since,
+      waitBudgetMs: patienceMs,
+      requirement: needsPrimary
         ? {kind: 'primary'}
-        : {kind: 'read', coversTime: since, own: undefined},
+        : {kind: 'read', minReadAt: since, ownCommit: undefined},
       user: SHARED_USER,
       values: new Map(),
-      passed: new Set(),
+      triedInstances: new Set(),
       settle: outcome => this.onSettled(kind, since, outcome),
     };
     this.waiting.add(request, this.now);
@@ -103,9 +106,9 @@
   }
 
   /** Reads may run on the primary where no replica has room. */
-  private place({need}: PlaceRequest<string>): string | undefined {
+  private place({requirement}: CheckoutRequest<string>): string | undefined {
     const {places} = this;
-    if (need.kind === 'read' && places.read >= 1_000) {
+    if (requirement.kind === 'read' && places.read >= 1_000) {
       places.read -= 1_000;
       return 'replica';
     }
@@ -117,7 +120,7 @@
   private onSettled(
     kind: Kind,
     since: number,
-    outcome: Result<string, PlaceRefusal>,
+    outcome: Result<string, CheckoutRefusal>,
   ): void {
     const waitedMs = this.now - since;
     const own = this.of(kind);
@@ -140,10 +143,10 @@
     load.run(2_000, [URGENT, PATIENT], PLACES);
     load.run(2_000, [URGENT, burst], PLACES);
     load.isPrimaryCut = true;
-    load.outage.note('lost', load.now);
+    load.outage.setState('lost', load.now);
     load.run(3_000, [URGENT, burst], PLACES);
     load.isPrimaryCut = false;
-    load.outage.note('serving', load.now);
+    load.outage.setState('serving', load.now);
     load.run(3_000, [URGENT, burst], PLACES);
     return load;
   }
@@ -219,7 +222,7 @@
 
   it('refuses the urgent where the switch is off, as before', () => {
     const load = new MixedLoad();
-    load.waiting.setByClass(false);
+    load.waiting.setUsesClasses(false);
     for (let count = 0; count < 300; count++) load.arrive(PATIENT);
     load.arrive(URGENT);
     expect(load.of(URGENT).refusals).toHaveLength(1);
@@ -257,7 +260,7 @@
   it('are those of its priorities, longer for the less urgent', () => {
     const load = new MixedLoad();
     load.run(3_000, [URGENT, {...PATIENT, perS: 300}], PLACES);
-    const reads = load.waiting.waits(load.now).filter(wait => {
+    const reads = load.waiting.expectedWaits(load.now).filter(wait => {
       return !wait.needsPrimary;
     });
     expect(reads.map(({priority}) => priority)).toEqual([2]);
@@ -271,12 +274,12 @@
     const load = new MixedLoad();
     load.run(3_000, [{...URGENT, perS: 120}], PLACES);
     load.isPrimaryCut = true;
-    load.outage.note('lost', load.now);
+    load.outage.setState('lost', load.now);
     load.run(1_500, [URGENT], PLACES);
-    expect(load.waiting.waits(load.now)).toEqual([]);
+    expect(load.waiting.expectedWaits(load.now)).toEqual([]);
   });
 
   it('are none where nobody waits', () => {
-    expect(new MixedLoad().waiting.waits(0)).toEqual([]);
+    expect(new MixedLoad().waiting.expectedWaits(0)).toEqual([]);
   });
 });
--- a/src/services/dispatch/test/node/granted_connections.test.ts
+++ b/src/services/dispatch/test/node/granted_connections.test.ts
@@ -3,25 +3,25 @@
 import {FakeGroup} from '../../../gateway/test/node/fake_group';
 import {
   BEGIN,
-  Caller,
+  TestCaller,
   COMMIT,
   makeCatalog,
   makeRoute,
   TestGateway,
   WRITE,
 } from '../../../gateway/test/node/session_fixture';
-import {ConnectionRoom} from '../../../room/common/connection_room';
+import {ConnectionQuota} from '../../../connection_quota/common/connection_quota';
 
 let group: FakeGroup;
 let gateway: TestGateway;
-let room: ConnectionRoom;
+let room: ConnectionQuota;
 
 beforeEach(() => {
   group = new FakeGroup(['a', 'b']);
   gateway = new TestGateway(group, makeCatalog([makeRoute()]));
   ({room} = gateway);
   room.onDidAttach();
-  room.onDidHear(gateway.clock.now());
+  room.extendLease(gateway.clock.now());
 });
 
 afterEach(() => gateway.stop.abort());
@@ -40,23 +40,23 @@
   // again elsewhere. An instance keeps what it opened in a burst, rested or
   // not, while control gives the same connections to another one.
   grant(4);
-  const callers = [...Array(8).keys()].map(() => new Caller(gateway, 'db'));
-  const begin = async (caller: Caller) => {
-    await caller.ask(BEGIN);
-    return caller.ask(WRITE);
+  const callers = [...Array(8).keys()].map(() => new TestCaller(gateway, 'db'));
+  const begin = async (caller: TestCaller) => {
+    await caller.send(BEGIN);
+    return caller.send(WRITE);
   };
   const begun = callers.map(begin);
   await rest(200);
-  expect(group.member('a').connections).toBe(4);
+  expect(group.member('a').connectionCount).toBe(4);
   grant(1);
   await rest(120);
   // Work under way goes on; what rests after it is closed.
-  expect(group.member('a').connections).toBe(4);
-  for (const caller of callers) void caller.ask(COMMIT);
+  expect(group.member('a').connectionCount).toBe(4);
+  for (const caller of callers) void caller.send(COMMIT);
   await Promise.all(begun);
   // At once, and not after the rest that surplus ones have otherwise.
   await rest(100);
-  expect(group.member('a').connections).toBe(1);
+  expect(group.member('a').connectionCount).toBe(1);
 });
 
 it('are not kept by instances that are no poolers', async () => {
@@ -67,10 +67,10 @@
   const pooler = {service: 'books', instance: 'p2', site: 's', address: 'p2:1'};
   gateway.gateway.setPoolers({poolers: [pooler]});
   await rest(1_300);
-  expect(group.member('a').connections).toBe(1);
+  expect(group.member('a').connectionCount).toBe(1);
   room.setGrants({grants: [], number: ++number});
   await rest(1_300);
-  expect(group.member('a').connections).toBe(0);
+  expect(group.member('a').connectionCount).toBe(0);
 });
 
 it('are wanted for each account that worked just now', async () => {
@@ -83,10 +83,10 @@
   });
   const routes = [makeRoute({name: 'r2', database: 'keyed', keyed: true})];
   gateway.gateway.setCatalog(makeCatalog(routes, {version: 2, accounts}));
-  gateway.catalogLease.extend(gateway.clock.now());
+  gateway.catalogLease.extendLease(gateway.clock.now());
   grant(14);
   for (const name of names) {
-    await new Caller(gateway, 'keyed', name).ask(WRITE);
+    await new TestCaller(gateway, 'keyed', name).send(WRITE);
   }
   await rest(100);
   const use = room.views.find(({instance}) => instance === 'a');
@@ -95,9 +95,9 @@
 
 it('are told to control with what waits for one', async () => {
   grant(2);
-  const callers = [...Array(5).keys()].map(() => new Caller(gateway, 'db'));
+  const callers = [...Array(5).keys()].map(() => new TestCaller(gateway, 'db'));
   for (const caller of callers) {
-    void caller.ask(BEGIN).then(() => caller.ask(WRITE));
+    void caller.send(BEGIN).then(() => caller.send(WRITE));
   }
   await rest(150);
   const use = room.views.find(({instance}) => instance === 'a');
--- a/src/services/dispatch/test/node/member_pool.test.ts
+++ b/src/services/dispatch/test/node/member_pool.test.ts
@@ -9,7 +9,7 @@
   // A member is forgotten, or moves, while a connection to it is on its way.
   // The pool that nobody looks at any more kept it: one of a few for good.
   const group = new FakeGroup(['a']);
-  group.member('a').opensAfterMs = 20;
+  group.member('a').openDelayMs = 20;
   const listener = {
     onDidChange: () => {},
     onDidOpen: () => {},
@@ -22,8 +22,8 @@
     new ManualClock(),
     new AbortController().signal,
   );
-  pool.open(SHARED_USER);
+  pool.connect(SHARED_USER);
   pool.closeAll();
   await new Promise(resolve => setTimeout(resolve, 60));
-  expect(group.member('a').connections).toBe(0);
+  expect(group.member('a').connectionCount).toBe(0);
 });
--- a/src/services/dispatch/test/node/lead_witness.test.ts
+++ b/src/services/dispatch/test/node/primary_verifier.test.ts
@@ -3,20 +3,23 @@
 import {FakeGroup} from '../../../gateway/test/node/fake_group';
 import {makeLog} from '../../../gateway/test/node/session_fixture';
 import {SHARED_USER} from '../../../target_link/common/target_link';
-import {LeadWitness, type WitnessedLead} from '../../node/lead_witness';
-import type {PooledLink} from '../../node/member_pool';
+import {
+  PrimaryVerifier,
+  type VerifiedPrimary,
+} from '../../node/primary_verifier';
+import type {PooledConnection} from '../../node/member_pool';
 
 const LEAD = {instance: 'a', epoch: 7};
 
 let clock: ManualClock;
 let group: FakeGroup;
-let witness: LeadWitness;
-let proved: WitnessedLead[];
+let witness: PrimaryVerifier;
+let proved: VerifiedPrimary[];
 let answers: string[];
 
 /** Links that connect anew for each question. */
-async function connectAll(): Promise<Map<string, PooledLink>> {
-  const links = new Map<string, PooledLink>();
+async function connectAll(): Promise<Map<string, PooledConnection>> {
+  const links = new Map<string, PooledConnection>();
   for (const instance of group.instances) {
     const user = SHARED_USER;
     const address = `${instance}:1`;
@@ -35,7 +38,7 @@
   proved = [];
   answers = [];
   const links = await connectAll();
-  witness = new LeadWitness(
+  witness = new PrimaryVerifier(
     'books',
     group,
     {
@@ -51,7 +54,7 @@
 
 function wish(name: string, term = 1): void {
   const settle = (isProved: boolean) => answers.push(`${name} ${isProved}`);
-  witness.add({epoch: 7, term, until: clock.now() + 500, settle});
+  witness.add({epoch: 7, term, deadline: clock.now() + 500, settle});
 }
 
 const answered = () => new Promise(resolve => setTimeout(resolve, 5));
--- a/src/services/dispatch/test/node/service_dispatcher.test.ts
+++ b/src/services/dispatch/test/node/service_dispatcher.test.ts
@@ -4,9 +4,9 @@
 import {ownController} from '../../../../base/node/timers';
 import {FakeGroup} from '../../../gateway/test/node/fake_group';
 import {makeLog, membersOf} from '../../../gateway/test/node/session_fixture';
-import {makeLead} from '../../../lease/test/common/lease_fixture';
-import {LeadLeases} from '../../../lease/common/lead_leases';
-import {ConnectionRoom} from '../../../room/common/connection_room';
+import {makeAssignment} from '../../../lease/test/common/lease_fixture';
+import {PrimaryLeases} from '../../../lease/common/primary_leases';
+import {ConnectionQuota} from '../../../connection_quota/common/connection_quota';
 import {SHARED_USER} from '../../../target_link/common/target_link';
 import {MemberPool} from '../../node/member_pool';
 import {ServiceDispatcher} from '../../node/service_dispatcher';
@@ -37,19 +37,23 @@
     region: 'r',
     regionOf: () => 'r',
     connector: group,
-    leases: new LeadLeases(clock),
+    leases: new PrimaryLeases(clock),
     statusReader: group,
-    room: new ConnectionRoom(clock),
+    connectionQuota: new ConnectionQuota(clock),
     clock,
     log: makeLog().log,
-    onDidJudgePrimary: () => {},
+    onDidAssessPrimary: () => {},
   });
   void dispatcher.start(stop.signal);
   // So many instances before 16 connections that none is kept for later.
-  const sharers = {all: 60, near: 0, elsewhere: false};
+  const sharers = {
+    instanceCount: 60,
+    sameRegionCount: 0,
+    isPooledElsewhere: false,
+  };
   dispatcher.post({kind: 'members', members: membersOf(group), sharers});
-  dispatcher.post({kind: 'lead', lead: makeLead('a', 1)});
-  looks = vi.spyOn(MemberPool.prototype, 'maintain');
+  dispatcher.post({kind: 'primary', lead: makeAssignment('a', 1)});
+  looks = vi.spyOn(MemberPool.prototype, 'closeIdle');
 });
 
 afterEach(() => {
@@ -69,11 +73,11 @@
     priority: 1,
     deadline: now + SECOND_MS,
     dueAt: now + SECOND_MS,
-    since: now,
-    patienceMs: SECOND_MS / 2,
-    need: {kind: 'primary'} as const,
+    requestedAt: now,
+    waitBudgetMs: SECOND_MS / 2,
+    requirement: {kind: 'primary'} as const,
     values: new Map<string, string>(),
-    passed: new Set<string>(),
+    triedInstances: new Set<string>(),
     settle: () => {},
   };
   dispatcher.post({kind: 'request', request});
--- a/src/services/failover/common/failover.ts
+++ b/src/services/failover/common/failover.ts
@@ -5,9 +5,9 @@
   formatPosition,
   heldPosition,
   logEnd,
-  ORIGIN,
+  ORIGIN_POSITION,
 } from '../../position/common/position';
-import {isLeaseOver} from '../../lease/common/lease_end';
+import {hasLeaseEnded} from '../../lease/common/lease_expiry';
 import type {FailoverAction, FailoverView, TargetView} from './failover_view';
 
 /** Replicas must miss their primary for this many silences to convict it. */
@@ -36,14 +36,14 @@
 
 function decideForming(view: FailoverView): FailoverAction[] {
   const present = view.targets.filter(target => target.connected);
-  if (present.length < view.members) return [];
+  if (present.length < view.memberCount) return [];
   return [begin(view, 'the group is complete', false)];
 }
 
 // ---- A service with a primary ----
 
 function decideSteady(view: FailoverView): FailoverAction[] {
-  const cause = causeOfLoss(view);
+  const cause = findLossCause(view);
   if (cause) return [begin(view, cause, false)];
   const planned = causeOfPlannedChange(view);
   if (planned) return [begin(view, planned, true)];
@@ -51,7 +51,7 @@
 }
 
 /** Why the primary must be replaced at once, or undefined. */
-export function causeOfLoss(view: FailoverView): string | undefined {
+export function findLossCause(view: FailoverView): string | undefined {
   const primary = primaryOf(view);
   const {primaryIncarnation} = view.record;
   // A process that was started again has lost what it held in memory, and
@@ -91,17 +91,17 @@
 ): boolean {
   // A leader that has just started has seen nobody yet: it must not take its
   // own ignorance for a loss.
-  if (!primary?.status) return view.now - view.leaderSince >= view.silenceMs;
-  return !primary.connected || primary.silentMs >= view.silenceMs;
+  if (!primary?.status) return view.now - view.leaderSince >= view.maxSilenceMs;
+  return !primary.connected || primary.silentMs >= view.maxSilenceMs;
 }
 
 function isCutFromReplicas(view: FailoverView): boolean {
-  if (view.confirmations === 0) return false;
+  if (view.requiredConfirmations === 0) return false;
   const replicas = view.targets.filter(target => {
     return target.connected && target.instance !== view.record.primary;
   });
-  if (replicas.length < view.confirmations) return false;
-  const limit = view.silenceMs * UPSTREAM_PATIENCE;
+  if (replicas.length < view.requiredConfirmations) return false;
+  const limit = view.maxSilenceMs * UPSTREAM_PATIENCE;
   // Replicas miss their primary since the one before was lost. That is no
   // fault of the new one: the time counts from when it was chosen.
   if (view.phaseAgeMs < limit) return false;
@@ -156,7 +156,7 @@
 // ---- A service between two primaries ----
 
 function decideChanging(view: FailoverView): FailoverAction[] {
-  const isOver = areLeasesOver(view);
+  const isOver = haveLeasesEnded(view);
   // A planned change lets running writes end on the old primary and replicas
   // take them over: a fence before that would undo work for nothing.
   if (view.record.planned && !(isOver && isHandedOver(view))) return [];
@@ -220,7 +220,8 @@
     return !holder.draining && !holder.status!.leaving;
   });
   const counted = staying.filter(hasItsData);
-  const enough = counted.length >= view.members - view.confirmations;
+  const enough =
+    counted.length >= view.memberCount - view.requiredConfirmations;
   return enough ? staying : holders;
 }
 
@@ -244,11 +245,16 @@
  * when each registered proxy has handed its lease back or cannot hold one any
  * more. A leader that is new waits out what the one before may have granted.
  */
-export function areLeasesOver(view: FailoverView): boolean {
-  const {record, leaderSince: since, leaseBoundMs: boundMs, now} = view;
+export function haveLeasesEnded(view: FailoverView): boolean {
+  const {record, leaderSince, maxLeaseMs: boundMs, now} = view;
   if (record.termStarts.length === 0) return true;
   return view.proxies.every(proxy => {
-    return isLeaseOver(proxy, record.term, {since, boundMs}, now);
+    return hasLeaseEnded(
+      proxy,
+      record.term,
+      {leaderSince, maxLeaseMs: boundMs},
+      now,
+    );
   });
 }
 
@@ -264,19 +270,19 @@
 function safetyOf(view: FailoverView, holders: readonly TargetView[]): Safety {
   const first = view.record.termStarts.length === 0;
   const counted = holders.filter(holder => first || hasItsData(holder));
-  const needed = view.members - (first ? 0 : view.confirmations);
+  const needed = view.memberCount - (first ? 0 : view.requiredConfirmations);
   if (counted.length >= needed) {
-    return {rule: `${counted.length} of ${view.members} members answered`};
+    return {rule: `${counted.length} of ${view.memberCount} members answered`};
   }
   const heir = chooseHeir(counted);
   if (!first && heir && holdsAllAcknowledged(view, heir)) {
     return {rule: 'it holds all that any proxy acknowledged'};
   }
-  if (view.forced && holders.length > 0) {
+  if (view.isForced && holders.length > 0) {
     return {rule: 'an operator forced the change'};
   }
   const reason =
-    `${counted.length} of ${view.members} members with their data answered, ` +
+    `${counted.length} of ${view.memberCount} members with their data answered, ` +
     `${needed} are needed; bring a member back or force the change`;
   return {reason};
 }
@@ -291,7 +297,7 @@
   const held = heldPosition(heir.status!);
   return view.proxies.every(proxy => {
     if (proxy.handedBackBelow < view.record.term) return false;
-    const highest = proxy.highestAcknowledged ?? ORIGIN;
+    const highest = proxy.highestAcknowledged ?? ORIGIN_POSITION;
     return comparePositions(held, highest) >= 0;
   });
 }
--- a/src/services/failover/common/failover_view.ts
+++ b/src/services/failover/common/failover_view.ts
@@ -40,11 +40,11 @@
 export interface FailoverView {
   readonly record: ServiceRecord;
   /** How many members the group has, by its settings. */
-  readonly members: number;
-  readonly confirmations: number;
-  readonly silenceMs: number;
+  readonly memberCount: number;
+  readonly requiredConfirmations: number;
+  readonly maxSilenceMs: number;
   /** The longest that a lease can last on the leader's clock. */
-  readonly leaseBoundMs: number;
+  readonly maxLeaseMs: number;
   readonly now: number;
   readonly leaderSince: number;
   /** How long this leader has known the service in its term and phase. */
@@ -52,7 +52,7 @@
   readonly targets: readonly TargetView[];
   readonly proxies: readonly ProxyView[];
   /** An operator took the risk of losing writes for this change. */
-  readonly forced: boolean;
+  readonly isForced: boolean;
 }
 
 /** What the leader does next for a service. */
--- a/src/services/failover/test/common/failover.test.ts
+++ b/src/services/failover/test/common/failover.test.ts
@@ -67,16 +67,16 @@
 function decide(parts: Partial<FailoverView>) {
   return decideFailover({
     record: record(),
-    members: 3,
-    confirmations: 1,
-    silenceMs: 500,
-    leaseBoundMs: 800,
+    memberCount: 3,
+    requiredConfirmations: 1,
+    maxSilenceMs: 500,
+    maxLeaseMs: 800,
     now: 10_000,
     leaderSince: 0,
     phaseAgeMs: 5_000,
     targets: [],
     proxies: [],
-    forced: false,
+    isForced: false,
     ...parts,
   });
 }
@@ -156,7 +156,7 @@
     expect(enough.at(-1)).toMatchObject({kind: 'complete', primary: 'c'});
     const lacking = decide({targets, proxies: [handedBack(11)]});
     expect(lacking.at(-1)).toMatchObject({kind: 'blocked'});
-    const forced = decide({targets, proxies: [handedBack(11)], forced: true});
+    const forced = decide({targets, proxies: [handedBack(11)], isForced: true});
     expect(forced.at(-1)).toMatchObject({kind: 'complete', primary: 'c'});
   });
 
--- a/src/services/failover/test/common/world.ts
+++ b/src/services/failover/test/common/failover_simulation.ts
@@ -12,7 +12,7 @@
   type LeaseRequest,
   type ServiceRecord,
 } from '../../../../schema/generated/control';
-import {Commits} from '../../../confirmation/common/commits';
+import {PendingCommits} from '../../../confirmation/common/pending_commits';
 import {ControlMachine} from '../../../control_state/common/control_machine';
 import {LeaseRegistry} from '../../../lease/common/lease_registry';
 import {TermLease} from '../../../lease/common/term_lease';
@@ -31,7 +31,7 @@
 }
 
 /** A database member of the model. */
-export class ModelTarget {
+export class SimulatedMember {
   up = true;
   heardAt = 0;
   /** Cut off from control, from other members, from proxies. */
@@ -44,7 +44,7 @@
   matchedTerm = 0;
   logTerm = 0;
   log: Entry[] = [];
-  upstream: ModelTarget | undefined;
+  upstream: SimulatedMember | undefined;
   catchUp = 0;
 
   constructor(readonly name: string) {}
@@ -97,7 +97,7 @@
     this.upstream = undefined;
   }
 
-  attach(term: number, primary: ModelTarget): void {
+  attach(term: number, primary: SimulatedMember): void {
     this.stepDown(term);
     this.upstream = primary;
     let common = 0;
@@ -124,7 +124,7 @@
 interface ModelProxy {
   readonly name: string;
   readonly lease: TermLease;
-  readonly commits: Commits;
+  readonly commits: PendingCommits;
   record: ServiceRecord | undefined;
   cutFromControl: boolean;
 }
@@ -138,10 +138,10 @@
  * Control's decisions, leases and commits over a model of a database group:
  * no sockets, one list of delayed messages, faults from a seed.
  */
-export class World {
+export class FailoverSimulation {
   readonly clock = new ManualClock(1_000);
   readonly machine = new ControlMachine();
-  readonly targets = ['a', 'b', 'c'].map(name => new ModelTarget(name));
+  readonly targets = ['a', 'b', 'c'].map(name => new SimulatedMember(name));
   readonly proxies: ModelProxy[];
   readonly faults: string[] = [];
   readonly acknowledged = new Map<number, string>();
@@ -163,7 +163,7 @@
       return {
         name: `p${at}`,
         lease,
-        commits: new Commits(lease, 1),
+        commits: new PendingCommits(lease, 1),
         record: undefined,
         cutFromControl: false,
       };
@@ -189,7 +189,7 @@
     return this.machine.service(SERVICE)!;
   }
 
-  get primary(): ModelTarget | undefined {
+  get primary(): SimulatedMember | undefined {
     return this.targets.find(({name}) => name === this.record.primary);
   }
 
@@ -223,8 +223,8 @@
       if (registry !== this.registry) return;
       const now = this.clock.now();
       const identity = {instance: proxy.name, incarnation: '1'};
-      registry.onAsk(identity, ask, now);
-      registry.onGrant(identity, now);
+      registry.onRequest(identity, ask, now);
+      registry.onGranted(identity, now);
       const record = structuredClone(this.record);
       this.later(proxy, () => this.onGrant(proxy, record, askedAt));
     });
@@ -277,11 +277,11 @@
     const now = this.clock.now();
     if (proxy.record && proxy.record.revision > record.revision) return;
     proxy.record = record;
-    proxy.lease.giveUpBelow(record.term);
-    proxy.commits.onRecord(record, now);
+    proxy.lease.returnBelow(record.term);
+    proxy.commits.onServiceRecord(record, now);
     if (record.phase !== Phase.PHASE_STEADY) return;
     proxy.lease.extend(record.term, askedAt, LEASE_MS);
-    proxy.commits.onLease(now);
+    proxy.commits.onLeaseExtended(now);
   }
 
   private askOf(proxy: ModelProxy): LeaseRequest {
@@ -386,7 +386,7 @@
     this.apply({$case: 'completeChange', value});
   }
 
-  private reach(instance: string): ModelTarget | undefined {
+  private reach(instance: string): SimulatedMember | undefined {
     const target = this.targets.find(({name}) => name === instance);
     return target?.up && !target.cutFromControl ? target : undefined;
   }
@@ -395,10 +395,10 @@
     const now = this.clock.now();
     return {
       record: this.record,
-      members: 3,
-      confirmations: 1,
-      silenceMs: SILENCE_MS,
-      leaseBoundMs: LEASE_MS * DRIFT,
+      memberCount: 3,
+      requiredConfirmations: 1,
+      maxSilenceMs: SILENCE_MS,
+      maxLeaseMs: LEASE_MS * DRIFT,
       now,
       leaderSince: this.leaderSince,
       phaseAgeMs: now - this.phaseSince,
@@ -414,7 +414,7 @@
       proxies: this.machine.state.proxies.map(proxy => {
         return this.registry.viewOf(proxy, SERVICE, now);
       }),
-      forced: false,
+      isForced: false,
     };
   }
 
--- a/src/services/failover/test/common/schedule.ts
+++ b/src/services/failover/test/common/schedule.ts
@@ -1,13 +1,13 @@
 import {SeededRandom} from '../../../../base/common/random';
 import {Phase} from '../../../../schema/generated/control';
-import {World, type ModelTarget} from './world';
+import {FailoverSimulation, type SimulatedMember} from './failover_simulation';
 
 const STEPS = 900;
 
 /** Plays random traffic and faults; one member at a time loses its data. */
-export function play(seed: number): World {
+export function play(seed: number): FailoverSimulation {
   const random = new SeededRandom(seed);
-  const world = new World(random);
+  const world = new FailoverSimulation(random);
   for (let step = 0; step < STEPS; step++) {
     world.pass(random.integer(1, 10));
     const proxy = random.pick(world.proxies);
@@ -30,7 +30,7 @@
 }
 
 /** A member is back in all directions. */
-function heal(target: ModelTarget): void {
+function heal(target: SimulatedMember): void {
   target.up = true;
   target.cutFromControl = false;
   target.cutFromMembers = false;
@@ -38,7 +38,7 @@
 }
 
 /** A member restarts empty, where all others hold their data. */
-function loseData(world: World, random: SeededRandom): void {
+function loseData(world: FailoverSimulation, random: SeededRandom): void {
   const {term, phase} = world.record;
   const settled = world.targets.every(({matchedTerm}) => matchedTerm === term);
   if (phase !== Phase.PHASE_STEADY || !settled) return;
@@ -46,7 +46,7 @@
 }
 
 /** Ends all faults and lets everything come to rest. */
-export function recover(world: World): void {
+export function recover(world: FailoverSimulation): void {
   for (const proxy of world.proxies) proxy.cutFromControl = false;
   for (const target of world.targets) heal(target);
   for (let step = 0; step < 400; step++) {
--- a/src/services/fleet_control/common/one_at_a_time.ts
+++ b/src/services/fleet_control/common/single_flight.ts
@@ -1,5 +1,5 @@
 /** Work that is not begun again while it is under way, by key. */
-export class OneAtATime {
+export class SingleFlight {
   private readonly underWay = new Set<string>();
 
   /** Begins the work unless the same is under way. */
@@ -9,7 +9,7 @@
     void work().finally(() => this.underWay.delete(key));
   }
 
-  isUnderWay(key: string): boolean {
+  isRunning(key: string): boolean {
     return this.underWay.has(key);
   }
 }
--- a/src/services/fleet_control/common/usual_count.ts
+++ b/src/services/fleet_control/common/stable_count.ts
@@ -8,17 +8,17 @@
  * took as many connections as there were for all of them: the first ones held
  * four to each primary, and others had none for more than a second.
  */
-export class UsualCount {
+export class StableCount {
   private current = 0;
   private since = -Infinity;
 
   /** Takes a look; the count to note, where another one is usual by now. */
-  look(count: number, noted: number, now: number): number | undefined {
+  observe(count: number, recorded: number, now: number): number | undefined {
     if (count !== this.current) {
       this.current = count;
       this.since = now;
     }
     const isUsual = now - this.since >= USUAL_AFTER_MS;
-    return isUsual && count !== noted && count > 0 ? count : undefined;
+    return isUsual && count !== recorded && count > 0 ? count : undefined;
   }
 }
--- a/src/services/fleet_control/node/fleet_control.ts
+++ b/src/services/fleet_control/node/fleet_control.ts
@@ -4,34 +4,35 @@
 import type {Log} from '../../../base/node/log';
 import {ownController, every} from '../../../base/node/timers';
 import type {Catalog, Member} from '../../../schema/generated/fleet';
-import type {LimitPrecision} from '../../account/common/enforcement';
-import type {ShareAllocator} from '../../account/common/counting';
+import type {LimitPrecision} from '../../account/common/limit_precision';
+import type {ShareAllocator} from '../../account/common/permit_counting';
 import type {CatalogReader} from '../../catalog/common/catalog';
 import type {ConsensusNode} from '../../consensus/node/consensus_node';
 import {encodeCommand} from '../../fleet_state/common/fleet_command';
 import type {FleetLeader} from '../../fleet_link/node/fleet_leader';
 import type {
-  FleetMachine,
+  FleetStateMachine,
   PublishOutcome,
-} from '../../fleet_state/common/fleet_machine';
-import {planElastic} from '../../membership/common/elastic_plan';
+} from '../../fleet_state/common/fleet_state_machine';
+import {planElasticMembership} from '../../membership/common/elastic_membership_plan';
 import type {Joiner} from '../../membership/common/membership_plan';
 import {PoolerPlanner} from '../../pooler/common/pooler_planner';
-import {LeadBoard} from '../../lease/common/lead_board';
+import {PublishedPrimaries} from '../../lease/common/published_primaries';
 import {LeaseHolders} from '../../lease/common/lease_holders';
 import {Roster, type Announcement} from '../../roster/common/roster';
-import {OneAtATime} from '../common/one_at_a_time';
-import {UsualCount} from '../common/usual_count';
-import {AccountCounting} from './account_counting';
-import type {RoomAllocator} from '../../room/common/room_allocator';
-import {ControlRoom} from '../../room/common/control_room';
-import {ServicePromotions, type PromotionMeans} from './service_promotions';
+import {SingleFlight} from '../common/single_flight';
+import {StableCount} from '../common/stable_count';
+import {LimitCoordinator} from './limit_coordinator';
+import type {ConnectionAllocator} from '../../connection_quota/common/connection_allocator';
+import {ConnectionAllocation} from '../../connection_quota/common/connection_allocation';
+import {ServicePromotions, type MemberAccess} from './service_promotions';
 
 /** Why control cannot answer for certain now. */
-export type Uncertainty = 'not leading' | 'too few voters' | 'unconfirmed';
+export type UnavailableReason =
+  'not leading' | 'too few voters' | 'unconfirmed';
 
 /** What an operator hears of a catalog that was handed in. */
-export type HandInOutcome =
+export type SubmitOutcome =
   | {readonly kind: PublishOutcome}
   | {readonly kind: 'invalid'; readonly reason: string};
 
@@ -39,17 +40,17 @@
 export type AnnounceOutcome = 'taken' | 'not leading' | 'unknown service';
 
 /** What control is built on. */
-export interface FleetControlSurroundings {
+export interface FleetControlDependencies {
   readonly holder: string;
   /** Voters that must hold something before it is acknowledged. */
-  readonly wantedVoters: number;
+  readonly desiredVoterCount: number;
   readonly limitPrecision: LimitPrecision;
   /** How long shares of limits hold without a word of control, in ms. */
   readonly shareLeaseMs: number;
   readonly node: ConsensusNode;
-  readonly machine: FleetMachine;
+  readonly machine: FleetStateMachine;
   readonly reader: CatalogReader;
-  readonly means: PromotionMeans;
+  readonly memberAccess: MemberAccess;
   readonly clock: Clock;
   readonly log: Log;
   regionOf(site: string): string;
@@ -65,20 +66,20 @@
   private term = ownController();
   private promotions: ServicePromotions | undefined;
   private readonly joiners = new Map<string, Joiner>();
-  private readonly proposals = new OneAtATime();
+  private readonly proposals = new SingleFlight();
   private planner = new PoolerPlanner(0);
-  private usualCount = new UsualCount();
+  private usualCount = new StableCount();
   private leadingSince = Infinity;
-  private leadBoard = new LeadBoard();
+  private leadBoard = new PublishedPrimaries();
   private leaseHolders = new LeaseHolders(Infinity);
-  private counting: AccountCounting;
+  private counting: LimitCoordinator;
   private known: {version: number; catalog: Catalog} | undefined;
-  private readonly controlRoom: ControlRoom;
+  private readonly controlRoom: ConnectionAllocation;
   leader: FleetLeader | undefined;
 
-  constructor(private readonly around: FleetControlSurroundings) {
+  constructor(private readonly around: FleetControlDependencies) {
     this.counting = this.makeCounting();
-    this.controlRoom = new ControlRoom({
+    this.controlRoom = new ConnectionAllocation({
       catalog: () => this.catalog(),
       members: () => this.roster.all(),
       membersRevision: () => this.roster.revision,
@@ -93,7 +94,7 @@
   }
 
   get isLeading(): boolean {
-    return this.around.node.core.leaderReady;
+    return this.around.node.core.isLeaderReady;
   }
 
   get members(): readonly Member[] {
@@ -118,7 +119,7 @@
   }
 
   /** Who leads which service, as proxies are told. */
-  get leads(): LeadBoard {
+  get publishedPrimaries(): PublishedPrimaries {
     return this.leadBoard;
   }
 
@@ -133,8 +134,8 @@
   }
 
   /** Who may open how many connections to members. */
-  get room(): RoomAllocator {
-    return this.controlRoom.current;
+  get connectionAllocator(): ConnectionAllocator {
+    return this.controlRoom.currentAllocator;
   }
 
   /** Begins or ends what only a leader does. */
@@ -146,14 +147,14 @@
     this.roster = new Roster();
     this.planner = new PoolerPlanner(this.around.clock.now());
     this.leadingSince = isLeader ? this.around.clock.now() : Infinity;
-    this.usualCount = new UsualCount();
-    this.leadBoard = new LeadBoard();
+    this.usualCount = new StableCount();
+    this.leadBoard = new PublishedPrimaries();
     this.leaseHolders = new LeaseHolders(this.leadingSince);
     this.counting = this.makeCounting();
-    this.controlRoom.begin(this.around.clock.now());
+    this.controlRoom.onDidBecomeLeader(this.around.clock.now());
     // Proxies that wait here for an election stay while this instance stands
     // for it: sent away, each of them came back 0.1 to 0.3 s after it.
-    if (wasLeader && !isLeader) this.leader?.onDidLoseLead();
+    if (wasLeader && !isLeader) this.leader?.onDidLoseLeadership();
     this.leader?.push();
   }
 
@@ -161,7 +162,9 @@
   onDidApply(): void {
     if (!this.isLeading) return;
     this.restoreMembers();
-    for (const lead of this.around.machine.leads) this.leadBoard.name(lead);
+    for (const lead of this.around.machine.assignments) {
+      this.leadBoard.offer(lead);
+    }
   }
 
   onJoin(joiner: Joiner): void {
@@ -169,7 +172,9 @@
   }
 
   /** Puts a complete catalog into the log; the outcome once it is certain. */
-  async handIn(source: string): Promise<Result<HandInOutcome, Uncertainty>> {
+  async submitCatalog(
+    source: string,
+  ): Promise<Result<SubmitOutcome, UnavailableReason>> {
     const {reader, node, machine, log} = this.around;
     const read = reader.read(source);
     if (read.isErr) {
@@ -178,9 +183,9 @@
     }
     if (!this.isLeading) return err('not leading');
     if (!this.hasEnoughVoters) return err('too few voters');
-    const {catalog, canonical} = read.value;
+    const {catalog, canonicalText} = read.value;
     const {version} = catalog;
-    const compressed = deflateRawSync(Buffer.from(canonical));
+    const compressed = deflateRawSync(Buffer.from(canonicalText));
     const body = {
       $case: 'publish',
       value: {version, source: compressed},
@@ -198,10 +203,12 @@
   }
 
   /** The newest catalog's source, if a majority confirms that it is. */
-  async readBack(): Promise<Result<string | undefined, Uncertainty>> {
+  async readCatalogSource(): Promise<
+    Result<string | undefined, UnavailableReason>
+  > {
     const {node, machine} = this.around;
     if (!this.isLeading) return err('not leading');
-    const confirmed = await node.confirm();
+    const confirmed = await node.confirmLeadership();
     if (confirmed.isErr) return err('unconfirmed');
     if (machine.catalogVersion === 0) return ok(undefined);
     return ok(inflate(machine.catalogSource));
@@ -221,7 +228,7 @@
       const fields = {instance, service, role, draining};
       const known = before !== undefined;
       this.around.log.info('A member announced a change.', {...fields, known});
-      this.leader?.pushSoon();
+      this.leader?.schedulePush();
       // At each announcement, a look at all members is their number squared.
       this.drive();
     }
@@ -236,7 +243,7 @@
   }
 
   /** Takes note that a member ended, with its log. */
-  async forget(instance: string): Promise<boolean> {
+  async removeMember(instance: string): Promise<boolean> {
     if (!this.isLeading) return false;
     const member = this.roster.get(instance);
     this.roster.remove(instance);
@@ -249,15 +256,15 @@
     return done.isOk;
   }
 
-  private makeCounting(): AccountCounting {
+  private makeCounting(): LimitCoordinator {
     const around = {...this.around, catalog: () => this.catalog()};
-    return new AccountCounting(around, this.proposals);
+    return new LimitCoordinator(around, this.proposals);
   }
 
   private get hasEnoughVoters(): boolean {
     const {peers} = this.around.node.core.configuration;
     const voters = peers.filter(({voter}) => voter).length;
-    return voters >= this.around.wantedVoters;
+    return voters >= this.around.desiredVoterCount;
   }
 
   private restoreMembers(): void {
@@ -271,11 +278,11 @@
     this.restoreMembers();
     this.tendVoters();
     this.forgetSilent();
-    this.promotions?.tendRecovering();
+    this.promotions?.checkRecovering();
     this.tendPoolers();
     this.tendCount();
-    this.counting.tend(this.leader?.attached ?? []);
-    this.controlRoom.tend();
+    this.counting.reconcile(this.leader?.attached ?? []);
+    this.controlRoom.checkCapacities();
     this.drive();
   }
 
@@ -285,13 +292,13 @@
       {
         ...this.around,
         roster: this.roster,
-        leads: this.leadBoard,
+        publishedPrimaries: this.leadBoard,
         holders: this.leaseHolders,
         leader: this.leader,
       },
       this.term.signal,
     );
-    this.promotions.look();
+    this.promotions.reconcile();
   }
 
   /** A member whose log may count at a promotion goes into the log. */
@@ -306,9 +313,10 @@
     const isKnown =
       isSameLife && known.address === address && known.role === role;
     const key = `admit ${instance}`;
-    if (isKnown || this.proposals.isUnderWay(key)) return;
+    if (isKnown || this.proposals.isRunning(key)) return;
     // Before the first lead nothing was acknowledged that a log could lack.
-    const isNewLife = !isSameLife && machine.lead(service) !== undefined;
+    const isNewLife =
+      !isSameLife && machine.assignmentOf(service) !== undefined;
     const recovering = isSameLife ? known.recovering : isNewLife;
     const value = {member: {...member, recovering}};
     const body = {$case: 'admit', value} as const;
@@ -332,19 +340,19 @@
     for (const member of this.roster.all()) {
       const {instance, service} = member;
       const heardAt = Math.max(
-        this.roster.heardAt(instance),
+        this.roster.lastHeardAt(instance),
         this.leadingSince,
       );
       if (now - heardAt < FORGET_SILENT_MS) continue;
-      if (!this.promotions?.canMiss(member)) continue;
+      if (!this.promotions?.isDispensable(member)) continue;
       this.around.log.warn('Forgets a silent member.', {instance, service});
-      void this.forget(instance);
+      void this.removeMember(instance);
     }
   }
 
   /** Names poolers anew where proxies or services came or went. */
   private tendPoolers(): void {
-    if (this.proposals.isUnderWay('poolers') || !this.leader) return;
+    if (this.proposals.isRunning('poolers') || !this.leader) return;
     const {machine, clock, node, log} = this.around;
     const poolers = this.planner.plan(
       this.catalog()?.services ?? [],
@@ -366,10 +374,14 @@
 
   /** Notes how many proxies there usually are. */
   private tendCount(): void {
-    if (this.proposals.isUnderWay('count') || !this.leader) return;
+    if (this.proposals.isRunning('count') || !this.leader) return;
     const {machine, node, clock, log} = this.around;
     const {length} = this.leader.attached;
-    const proxies = this.usualCount.look(length, machine.proxies, clock.now());
+    const proxies = this.usualCount.observe(
+      length,
+      machine.expectedProxyCount,
+      clock.now(),
+    );
     if (proxies === undefined) return;
     const body = {$case: 'countProxies', value: {proxies}} as const;
     this.proposals.start('count', async () => {
@@ -379,19 +391,19 @@
   }
 
   private tendVoters(): void {
-    const {node, wantedVoters, clock} = this.around;
+    const {node, desiredVoterCount, clock} = this.around;
     const {core} = node;
-    if (this.proposals.isUnderWay('voters')) return;
-    if (!core.configurationCommitted) return;
+    if (this.proposals.isRunning('voters')) return;
+    if (!core.isConfigurationCommitted) return;
     const joiners = [...this.joiners.values()];
     this.joiners.clear();
-    const next = planElastic({
+    const next = planElasticMembership({
       configuration: core.configuration,
       joiners,
-      wanted: wantedVoters,
+      desiredVoterCount,
       commitIndex: core.commitIndex,
       matchIndexOf: id => core.matchIndexOf(id),
-      silenceOf: id => core.silenceOf(id, clock.now()),
+      silentMsOf: id => core.silenceMsOf(id, clock.now()),
     });
     if (!next) return;
     this.proposals.start('voters', async () => {
--- a/src/services/fleet_control/node/account_counting.ts
+++ b/src/services/fleet_control/node/limit_coordinator.ts
@@ -6,21 +6,21 @@
   type CounterCandidate,
   type CounterChange,
 } from '../../account/common/counter_plan';
-import type {ShareAllocator} from '../../account/common/counting';
-import type {LimitPrecision} from '../../account/common/enforcement';
+import type {ShareAllocator} from '../../account/common/permit_counting';
+import type {LimitPrecision} from '../../account/common/limit_precision';
 import {LimitAllocator} from '../../account/common/limit_allocator';
 import type {ConsensusNode} from '../../consensus/node/consensus_node';
 import {encodeCommand} from '../../fleet_state/common/fleet_command';
-import type {FleetMachine} from '../../fleet_state/common/fleet_machine';
-import type {OneAtATime} from '../common/one_at_a_time';
+import type {FleetStateMachine} from '../../fleet_state/common/fleet_state_machine';
+import type {SingleFlight} from '../common/single_flight';
 
 /** What the counting of accounts is built on. */
-export interface AccountCountingSurroundings {
+export interface LimitCoordinatorDependencies {
   readonly limitPrecision: LimitPrecision;
   /** How long shares hold without a word of control, in milliseconds. */
   readonly shareLeaseMs: number;
   readonly node: Pick<ConsensusNode, 'propose'>;
-  readonly machine: Pick<FleetMachine, 'counters'>;
+  readonly machine: Pick<FleetStateMachine, 'counters'>;
   readonly clock: Clock;
   readonly log: Log;
   regionOf(site: string): string;
@@ -28,7 +28,7 @@
 }
 
 /** Names counters and divides limits among them, during one leadership. */
-export class AccountCounting {
+export class LimitCoordinator {
   private readonly allocator: ShareAllocator;
   private readonly planner: CounterPlanner;
   private knownCounters: readonly CounterEntry[] | undefined;
@@ -36,8 +36,8 @@
   private knownVersion = 0;
 
   constructor(
-    private readonly around: AccountCountingSurroundings,
-    private readonly proposals: OneAtATime,
+    private readonly around: LimitCoordinatorDependencies,
+    private readonly proposals: SingleFlight,
   ) {
     const {clock, limitPrecision, shareLeaseMs} = around;
     const now = clock.now();
@@ -62,8 +62,8 @@
   }
 
   /** Names counters anew where proxies or limits came or went. */
-  tend(attached: readonly CounterCandidate[]): void {
-    if (this.proposals.isUnderWay('counters')) return;
+  reconcile(attached: readonly CounterCandidate[]): void {
+    if (this.proposals.isRunning('counters')) return;
     const {machine, clock, node, catalog} = this.around;
     const {shares} = this;
     const now = clock.now();
@@ -71,7 +71,7 @@
     const need = {
       hasLimits: accounts.some(({limit}) => limit !== undefined),
       regionOf: this.around.regionOf,
-      isFree: (instance: string) => shares.isFree(instance, now),
+      canRemove: (instance: string) => shares.canRemove(instance, now),
     };
     const plan = this.planner.plan(need, attached, machine.counters, now);
     if (!plan) return;
--- a/src/services/fleet_control/node/service_promotions.ts
+++ b/src/services/fleet_control/node/service_promotions.ts
@@ -9,41 +9,44 @@
 } from '../../../schema/generated/fleet';
 import type {ConsensusNode} from '../../consensus/node/consensus_node';
 import {encodeCommand} from '../../fleet_state/common/fleet_command';
-import type {FleetMachine} from '../../fleet_state/common/fleet_machine';
+import type {FleetStateMachine} from '../../fleet_state/common/fleet_state_machine';
 import type {FleetLeader} from '../../fleet_link/node/fleet_leader';
-import type {LeadBoard} from '../../lease/common/lead_board';
+import type {PublishedPrimaries} from '../../lease/common/published_primaries';
 import type {LeaseHolders} from '../../lease/common/lease_holders';
-import {MemberWatch, pingIntervalMs} from '../../promotion/node/member_watch';
+import {
+  MemberMonitor,
+  pingIntervalMs,
+} from '../../promotion/node/member_monitor';
 import {PromotionDriver} from '../../promotion/node/promotion_driver';
-import type {PromotionOrders} from '../../promotion/node/promotion_surroundings';
+import type {PromotionAccess} from '../../promotion/node/promotion_dependencies';
 import {comparePositions} from '../../position/common/position';
 import type {Roster} from '../../roster/common/roster';
 import type {StatusReader} from '../../target_link/common/member_status';
 import type {TargetConnector} from '../../target_link/common/target_link';
 
 /** How members are reached and promoted. */
-export interface PromotionMeans {
+export interface MemberAccess {
   readonly connector: TargetConnector;
   readonly reader: StatusReader;
-  readonly orders: PromotionOrders;
+  readonly orders: PromotionAccess;
 }
 
 /** What the promotions of one leadership are built on. */
-export interface PromotionsSurroundings {
+export interface ServicePromotionsDependencies {
   readonly holder: string;
   readonly node: ConsensusNode;
-  readonly machine: FleetMachine;
+  readonly machine: FleetStateMachine;
   readonly roster: Roster;
-  readonly leads: LeadBoard;
+  readonly publishedPrimaries: PublishedPrimaries;
   readonly holders: LeaseHolders;
   readonly leader: FleetLeader;
-  readonly means: PromotionMeans;
+  readonly memberAccess: MemberAccess;
   readonly clock: Clock;
   readonly log: Log;
 }
 
 interface Watched {
-  readonly watch: MemberWatch;
+  readonly watch: MemberMonitor;
   readonly address: string;
   end(): void;
 }
@@ -59,12 +62,12 @@
   private readonly recoveries = new Set<string>();
 
   constructor(
-    private readonly around: PromotionsSurroundings,
+    private readonly around: ServicePromotionsDependencies,
     private readonly signal: AbortSignal,
   ) {}
 
   /** Watches new members, and leaves those that are gone. */
-  look(): void {
+  reconcile(): void {
     const members = this.around.roster.all();
     for (const member of members) {
       this.watchOf(member);
@@ -78,14 +81,14 @@
   }
 
   /** Whether a silent member's service goes on without it. */
-  canMiss(member: Member): boolean {
+  isDispensable(member: Member): boolean {
     const others = this.membersOf(member.service).filter(other => {
       return other.instance !== member.instance;
     });
     const healthy = others.filter(other => {
       return this.watchOf(other).silentMs < HEALTHY_SILENCE_MS;
     });
-    const lead = this.around.machine.lead(member.service);
+    const lead = this.around.machine.assignmentOf(member.service);
     const serves = healthy.some(({instance}) => instance === lead?.instance);
     return serves && healthy.length >= 2;
   }
@@ -95,7 +98,7 @@
    * the lead held after a member's life became known covers all that earlier
    * lives had confirmed.
    */
-  tendRecovering(): void {
+  checkRecovering(): void {
     for (const member of this.around.roster.all()) {
       const {instance, service} = member;
       const record = this.around.machine.member(service, instance);
@@ -109,16 +112,17 @@
   private async recover(record: Member): Promise<void> {
     const {machine, roster, log} = this.around;
     const {service, instance, born} = record;
-    const lead = roster.get(machine.lead(service)?.instance ?? '');
+    const lead = roster.get(machine.assignmentOf(service)?.instance ?? '');
     if (!lead || lead.instance === instance) return;
-    const wanted = await this.watchOf(lead).order({kind: 'status'});
-    const held = await this.watchOf(record).order({kind: 'status'});
-    if (!wanted?.leads || !held) return;
-    const holdsAll = comparePositions(held.received, wanted.received) >= 0;
+    const wanted = await this.watchOf(lead).sendCommand({kind: 'status'});
+    const held = await this.watchOf(record).sendCommand({kind: 'status'});
+    if (!wanted?.isPrimary || !held) return;
+    const holdsAll =
+      comparePositions(held.receivedPosition, wanted.receivedPosition) >= 0;
     if (!holdsAll || roster.get(instance)?.born !== born) return;
     const member = {...record, recovering: false};
     const done = await this.propose({$case: 'admit', value: {member}});
-    const at = `${held.received.term}/${held.received.offset}`;
+    const at = `${held.receivedPosition.term}/${held.receivedPosition.offset}`;
     const fields = {service, instance, born, held: at, done: done.isOk};
     log.info('A member has caught up.', fields);
   }
@@ -139,22 +143,22 @@
     const {machine, roster} = this.around;
     const record = machine.member(member.service, member.instance);
     if (record?.born !== member.born || record.recovering) return true;
-    const {reopenedAt} = this.watchOf(member);
-    return roster.heardAt(member.instance) < reopenedAt;
+    const {reconnectedAt} = this.watchOf(member);
+    return roster.lastHeardAt(member.instance) < reconnectedAt;
   }
 
-  private watchOf(member: Member): MemberWatch {
+  private watchOf(member: Member): MemberMonitor {
     const known = this.watches.get(member.instance);
     if (known?.address === member.address) return known.watch;
     known?.end();
-    const {means, clock} = this.around;
+    const {memberAccess, clock} = this.around;
     const own = ownController();
     const end = () => own.abort();
     this.signal.addEventListener('abort', end, {once: true});
-    const watch = new MemberWatch(
+    const watch = new MemberMonitor(
       member,
-      means.connector,
-      means.reader,
+      memberAccess.connector,
+      memberAccess.reader,
       clock,
       own.signal,
       () => pingIntervalMs(this.watches.size),
@@ -167,42 +171,58 @@
   private startDriver(service: string): void {
     if (this.drivers.has(service)) return;
     this.drivers.add(service);
-    const {holder, clock, log, means, roster, leader, leads, holders, machine} =
-      this.around;
+    const {
+      holder,
+      clock,
+      log,
+      memberAccess,
+      roster,
+      leader,
+      publishedPrimaries,
+      holders,
+      machine,
+    } = this.around;
     const driver = new PromotionDriver({
       service,
       holder,
       clock,
       log,
-      orders: means.orders,
+      access: memberAccess.orders,
       members: () => this.membersOf(service),
-      claimant: () => claimantOf(roster, service),
-      lead: () => machine.lead(service),
-      watchOf: member => this.watchOf(member),
-      complaintsOf: instance => leader.complaintsOf(service, instance),
-      revoke: () => {
-        leads.revoke(service);
+      claimedPrimary: () => claimantOf(roster, service),
+      assignment: () => machine.assignmentOf(service),
+      monitorOf: member => this.watchOf(member),
+      failureReportsOf: instance => leader.failureReportsOf(service, instance),
+      revokeLeases: () => {
+        publishedPrimaries.revoke(service);
         leader.push();
       },
-      isSpent: () => {
-        const epoch = leads.epochOf(service);
-        return leads.isRevoked(service) || holders.isSpent(service, epoch);
+      isRevoked: () => {
+        const epoch = publishedPrimaries.epochOf(service);
+        return (
+          publishedPrimaries.isRevoked(service) ||
+          holders.hasReturned(service, epoch)
+        );
       },
-      relying: () => {
-        return holders.relyingOn(service, leads.epochOf(service), clock.now());
+      leaseHolders: () => {
+        return holders.holdersOf(
+          service,
+          publishedPrimaries.epochOf(service),
+          clock.now(),
+        );
       },
-      confirm: () => this.around.node.isConfirmed(),
-      nameLead: (instance, ordered) => {
+      confirmLeadership: () => this.around.node.isLeadershipConfirmed(),
+      assignPrimary: (instance, ordered) => {
         const value = {service, holder, instance, ordered};
         return this.propose({$case: 'nameLead', value});
       },
-      settleLead: async epoch => {
+      completePromotion: async epoch => {
         const value = {service, epoch};
         return (await this.propose({$case: 'settleLead', value})).isOk;
       },
       onDidPromote: instance => {
-        const lead = machine.lead(service);
-        if (lead?.instance === instance) leads.confirm(lead);
+        const lead = machine.assignmentOf(service);
+        if (lead?.instance === instance) publishedPrimaries.publish(lead);
         roster.setPrimary(service, instance);
         leader.push();
       },
--- a/src/services/fleet_control/test/common/one_at_a_time.test.ts
+++ b/src/services/fleet_control/test/common/single_flight.test.ts
@@ -1,8 +1,8 @@
 import {expect, it} from 'vitest';
-import {OneAtATime} from '../../common/one_at_a_time';
+import {SingleFlight} from '../../common/single_flight';
 
 it('begins the same work again only once it ended, well or not', async () => {
-  const proposals = new OneAtATime();
+  const proposals = new SingleFlight();
   const ends: (() => void)[] = [];
   const begun: string[] = [];
   const begin = (key: string) => {
@@ -17,7 +17,7 @@
   expect(begun).toEqual(['count', 'poolers']);
   ends[0]!();
   await new Promise(resolve => setTimeout(resolve, 0));
-  expect(proposals.isUnderWay('count')).toBe(false);
+  expect(proposals.isRunning('count')).toBe(false);
   begin('count');
   expect(begun).toEqual(['count', 'poolers', 'count']);
 });
--- a/src/services/fleet_control/test/node/account_counting.test.ts
+++ b/src/services/fleet_control/test/node/limit_coordinator.test.ts
@@ -2,34 +2,34 @@
 import {ManualClock} from '../../../../base/common/clock';
 import {ok} from '../../../../base/common/outcome';
 import type {AccountEntry} from '../../../../schema/generated/fleet';
-import {SHARE_LEASE_MS} from '../../../account/common/counting';
-import {PLAIN_BUCKETS} from '../../../account/common/enforcement';
+import {SHARE_LEASE_MS} from '../../../account/common/permit_counting';
+import {NO_LIMIT_WINDOW} from '../../../account/common/limit_precision';
 import {
   makeCounter,
   makeLimited,
-} from '../../../account/test/common/counting_fakes';
-import {FleetMachine} from '../../../fleet_state/common/fleet_machine';
+} from '../../../account/test/common/permit_counting_fakes';
+import {FleetStateMachine} from '../../../fleet_state/common/fleet_state_machine';
 import {
   makeCatalog,
   makeLog,
   makeRoute,
 } from '../../../gateway/test/node/session_fixture';
-import {OneAtATime} from '../../common/one_at_a_time';
-import {AccountCounting} from '../../node/account_counting';
+import {SingleFlight} from '../../common/single_flight';
+import {LimitCoordinator} from '../../node/limit_coordinator';
 
 let clock: ManualClock;
-let machine: FleetMachine;
+let machine: FleetStateMachine;
 let accounts: AccountEntry[];
 let version: number;
 let logged: ReturnType<typeof makeLog>;
 let proposals: number;
-let counting: AccountCounting;
+let counting: LimitCoordinator;
 
 const PROXIES = ['p1', 'p2', 'p3'].map(name => makeCounter(name));
 
 beforeEach(() => {
   clock = new ManualClock();
-  machine = new FleetMachine();
+  machine = new FleetStateMachine();
   accounts = [];
   version = 1;
   logged = makeLog();
@@ -38,10 +38,10 @@
 });
 
 /** What a leader begins with. */
-function makeCounting(): AccountCounting {
-  return new AccountCounting(
+function makeCounting(): LimitCoordinator {
+  return new LimitCoordinator(
     {
-      limitPrecision: PLAIN_BUCKETS,
+      limitPrecision: NO_LIMIT_WINDOW,
       shareLeaseMs: SHARE_LEASE_MS,
       machine,
       node: {
@@ -55,14 +55,14 @@
       regionOf: site => site,
       catalog: () => makeCatalog([makeRoute()], {version, accounts}),
     },
-    new OneAtATime(),
+    new SingleFlight(),
   );
 }
 
 async function tendFor(milliseconds: number): Promise<void> {
   for (let passed = 0; passed < milliseconds; passed += 200) {
     clock.advance(200);
-    counting.tend(PROXIES);
+    counting.reconcile(PROXIES);
     await Promise.resolve();
     await Promise.resolve();
   }
@@ -76,7 +76,9 @@
   expect(proposals).toBe(0);
   expect(logged.lines).toEqual([]);
   for (const {instance} of PROXIES) {
-    expect(counting.shares.sharesFor(instance, clock.now())).toBeUndefined();
+    expect(
+      counting.shares.takeChangedShares(instance, clock.now()),
+    ).toBeUndefined();
   }
 });
 
@@ -91,12 +93,12 @@
   const {shares} = counting;
   let sum = 0;
   for (const instance of named) {
-    shares.onAttached(instance, [], clock.now(), clock.now());
+    shares.onDidAttach(instance, [], clock.now(), clock.now());
     shares.report(instance, [], 0, clock.now());
-    shares.onRenewed(instance, clock.now());
+    shares.renewLease(instance, clock.now());
   }
   for (const instance of named) {
-    const list = shares.sharesFor(instance, clock.now());
+    const list = shares.takeChangedShares(instance, clock.now());
     sum += list?.shares[0]?.perSecond ?? 0;
   }
   expect(sum).toBeGreaterThan(0);
@@ -112,10 +114,10 @@
   counting = makeCounting();
   const {shares} = counting;
   const {instance} = first!;
-  shares.onAttached(instance, [], clock.now(), clock.now());
+  shares.onDidAttach(instance, [], clock.now(), clock.now());
   shares.report(instance, [], 0, clock.now());
-  shares.onRenewed(instance, clock.now());
-  const list = shares.sharesFor(instance, clock.now());
+  shares.renewLease(instance, clock.now());
+  const list = shares.takeChangedShares(instance, clock.now());
   const given = list?.shares.map(({perSecond}) => perSecond) ?? [];
   expect(Math.max(0, ...given)).toBe(0);
 });
--- a/src/services/fleet_link/common/entries_by_service.ts
+++ b/src/services/fleet_link/common/entries_by_service.ts
@@ -1,13 +1,13 @@
-import type {EntryKind} from './keyed_changes';
+import type {EntryComparer} from './revisioned_list';
 
 /** The entries of a list by their services. */
 export class EntriesByService<T extends {readonly service: string}> {
   private groups: ReadonlyMap<string, readonly T[]> = new Map();
 
-  constructor(private readonly kind: EntryKind<T>) {}
+  constructor(private readonly kind: EntryComparer<T>) {}
 
   /** Takes the list as it is now; the services whose entries have changed. */
-  take(entries: readonly T[]): ReadonlySet<string> {
+  update(entries: readonly T[]): ReadonlySet<string> {
     const before = this.groups;
     this.groups = groupByService(entries);
     const changed = new Set<string>();
@@ -21,7 +21,7 @@
   }
 
   /** The entries of a service, in the order of the list. */
-  of(service: string): readonly T[] {
+  get(service: string): readonly T[] {
     return this.groups.get(service) ?? [];
   }
 
@@ -34,7 +34,7 @@
     if (a?.length !== b.length) return false;
     return a.every((entry, at) => {
       const other = b[at]!;
-      return entry === other || this.kind.isSame(entry, other);
+      return entry === other || this.kind.isEqual(entry, other);
     });
   }
 }
--- a/src/services/fleet_link/common/fleet_lists.ts
+++ b/src/services/fleet_link/common/fleet_lists.ts
@@ -1,11 +1,11 @@
 import type {Member, PoolerEntry} from '../../../schema/generated/fleet';
-import type {EntryKind} from './keyed_changes';
+import type {EntryComparer} from './revisioned_list';
 
 /** All members that a proxy knows, and how many proxies there are. */
 export interface FleetMembers {
   readonly members: readonly Member[];
   /** To divide connections among them; 0 where they are not counted yet. */
-  readonly proxies: number;
+  readonly proxyCount: number;
 }
 
 /** All proxies that keep connections for others. */
@@ -14,15 +14,15 @@
 }
 
 /** Members are told apart by their instances. */
-export const MEMBERS: EntryKind<Member> = {
-  nameOf: ({instance}) => instance,
-  isSame: (a, b) => hasSameFields(a, b),
+export const MEMBER_COMPARER: EntryComparer<Member> = {
+  keyOf: ({instance}) => instance,
+  isEqual: (a, b) => hasSameFields(a, b),
 };
 
 /** A proxy keeps connections of several services. */
-export const POOLERS: EntryKind<PoolerEntry> = {
-  nameOf: ({service, instance}) => `${service} ${instance}`,
-  isSame: (a, b) => hasSameFields(a, b),
+export const POOLER_COMPARER: EntryComparer<PoolerEntry> = {
+  keyOf: ({service, instance}) => `${service} ${instance}`,
+  isEqual: (a, b) => hasSameFields(a, b),
 };
 
 /** Compares messages whose fields are all plain values. */
--- a/src/services/fleet_link/common/keyed_changes.ts
+++ b/src/services/fleet_link/common/revisioned_list.ts
@@ -9,9 +9,9 @@
 }
 
 /** How the entries of a list are told apart. */
-export interface EntryKind<T> {
-  nameOf(entry: T): string;
-  isSame(a: T, b: T): boolean;
+export interface EntryComparer<T> {
+  keyOf(entry: T): string;
+  isEqual(a: T, b: T): boolean;
 }
 
 interface Known<T> {
@@ -30,7 +30,7 @@
  * sent all others a list of some hundred members, with their count. Links fill
  * up by that, are taken for lost, and each new one begins with the whole list.
  */
-export class KeyedChanges<T> {
+export class RevisionedList<T> {
   private readonly known = new Map<string, Known<T>>();
   /** When entries went, by their names; oldest first. */
   private readonly gone = new Map<string, number>();
@@ -38,7 +38,7 @@
   /** Deltas can be made for readers that heard of this revision or a later one. */
   private firstRevision = 1;
 
-  constructor(private readonly kind: EntryKind<T>) {}
+  constructor(private readonly kind: EntryComparer<T>) {}
 
   /** Increases with each change; a reader that heard of nothing has 0. */
   get revision(): number {
@@ -46,14 +46,14 @@
   }
 
   /** Takes the list as it is now. */
-  take(entries: readonly T[]): void {
+  update(entries: readonly T[]): void {
     const next = this.currentRevision + 1;
     const names = new Set<string>();
     for (const entry of entries) {
-      const name = this.kind.nameOf(entry);
+      const name = this.kind.keyOf(entry);
       names.add(name);
       const before = this.known.get(name)?.entry;
-      if (before !== undefined && this.kind.isSame(before, entry)) continue;
+      if (before !== undefined && this.kind.isEqual(before, entry)) continue;
       this.known.set(name, {entry, changedAt: next});
       this.gone.delete(name);
       this.currentRevision = next;
@@ -64,7 +64,7 @@
   }
 
   /** What a reader has not heard of that heard of a revision. */
-  since(revision: number): ListDelta<T> {
+  deltaSince(revision: number): ListDelta<T> {
     const complete = revision < this.firstRevision;
     const changed = [...this.known.values()]
       .filter(({changedAt}) => complete || changedAt > revision)
@@ -91,11 +91,11 @@
 export function applyListDelta<T>(
   base: readonly T[],
   {complete, changed, gone}: ListDelta<T>,
-  nameOf: (entry: T) => string,
+  keyOf: (entry: T) => string,
 ): T[] {
   if (complete) return [...changed];
-  const entries = new Map(base.map(entry => [nameOf(entry), entry]));
+  const entries = new Map(base.map(entry => [keyOf(entry), entry]));
   for (const name of gone) entries.delete(name);
-  for (const entry of changed) entries.set(nameOf(entry), entry);
+  for (const entry of changed) entries.set(keyOf(entry), entry);
   return [...entries.values()];
 }
--- a/src/services/fleet_link/node/counter_exchange.ts
+++ b/src/services/fleet_link/node/counter_session.ts
@@ -7,10 +7,10 @@
   LeaderMessage,
   RenewLeases,
 } from '../../../schema/generated/fleet';
-import type {ShareAllocator} from '../../account/common/counting';
+import type {ShareAllocator} from '../../account/common/permit_counting';
 
 /** Where limits of accounts are divided. */
-export interface CountingSource {
+export interface CounterSource {
   /** Who counts operations of accounts, or may still do so. */
   counters(): readonly CounterEntry[];
   /** Divides the limits of accounts, in this leadership. */
@@ -18,7 +18,7 @@
 }
 
 /** What the leader of control and one proxy tell each other about limits. */
-export class CounterExchange {
+export class CounterSession {
   private instance = '';
   /** The shares that the proxy held when it came. */
   private held: readonly AccountShare[] = [];
@@ -29,7 +29,7 @@
   private toldCounters: readonly CounterEntry[] | undefined;
 
   constructor(
-    private readonly source: CountingSource,
+    private readonly source: CounterSource,
     private readonly clock: Clock,
     private readonly write: (message: LeaderMessage) => void,
   ) {}
@@ -49,7 +49,7 @@
 
   /** A majority confirmed this leader after a question of the proxy. */
   onRenewed(): void {
-    this.allocator.onRenewed(this.instance, this.clock.now());
+    this.allocator.renewLease(this.instance, this.clock.now());
   }
 
   /** Sends what the proxy has not heard of yet. */
@@ -65,7 +65,7 @@
 
   private pushShares(): void {
     const {allocator, instance} = this;
-    const value = allocator.sharesFor(instance, this.clock.now());
+    const value = allocator.takeChangedShares(instance, this.clock.now());
     if (value) this.write({body: {$case: 'shares', value}});
   }
 
@@ -79,24 +79,24 @@
     if (this.toldAllocator !== allocator) {
       this.toldAllocator = allocator;
       const {instance, held, idleSince} = this;
-      allocator.onAttached(instance, held, idleSince, this.clock.now());
+      allocator.onDidAttach(instance, held, idleSince, this.clock.now());
     }
     return allocator;
   }
 }
 
 /** Logs which accounts came close to their limits, or have room again. */
-export function logJudgements(
+export function logLimitChanges(
   allocator: ShareAllocator,
   clock: Clock,
   log: Log,
 ): void {
-  for (const judgement of allocator.judge(clock.now())) {
-    const {account, isLimited, demand, terms, counters} = judgement;
-    const sentence = isLimited
+  for (const judgement of allocator.updateNearLimit(clock.now())) {
+    const {account, isNearLimit, demand, rateLimit, counters} = judgement;
+    const sentence = isNearLimit
       ? 'An account is over its limit.'
       : 'An account is below its limit.';
-    const {perSecond, depth} = terms;
+    const {perSecond, depth} = rateLimit;
     log.info(sentence, {account, demand, perSecond, depth, counters});
   }
 }
--- a/src/services/fleet_link/node/fleet_follower.ts
+++ b/src/services/fleet_link/node/fleet_follower.ts
@@ -14,21 +14,24 @@
   PrimaryAssignment,
 } from '../../../schema/generated/fleet';
 import type {CatalogLease} from '../../account/common/catalog_lease';
-import type {PermitCounter} from '../../account/common/counting';
+import type {PermitCounter} from '../../account/common/permit_counting';
 import {applyCatalogDelta} from '../../catalog/common/catalog_delta';
-import {RENEW_EVERY_MS, type LeadLeases} from '../../lease/common/lead_leases';
 import {
-  MEMBERS,
-  POOLERS,
+  RENEWAL_INTERVAL_MS,
+  type PrimaryLeases,
+} from '../../lease/common/primary_leases';
+import {
+  MEMBER_COMPARER,
+  POOLER_COMPARER,
   type FleetMembers,
   type FleetPoolers,
 } from '../common/fleet_lists';
-import type {InstanceCapacity} from '../../room/common/capacity';
+import type {InstanceCapacity} from '../../connection_quota/common/capacity';
 import {
-  NO_REPORT,
-  type ConnectionRoom,
-} from '../../room/common/connection_room';
-import {applyListDelta} from '../common/keyed_changes';
+  EMPTY_REPORT,
+  type ConnectionQuota,
+} from '../../connection_quota/common/connection_quota';
+import {applyListDelta} from '../common/revisioned_list';
 import {FollowerStream} from './follower_stream';
 
 /** What a proxy hears from control. */
@@ -36,7 +39,7 @@
   onDidReceiveCatalog(catalog: Catalog): void;
   onDidReceiveMembers(members: FleetMembers): void;
   onDidReceivePoolers(poolers: FleetPoolers): void;
-  onDidReceiveLeads(leads: readonly PrimaryAssignment[]): void;
+  onDidReceiveAssignments(leads: readonly PrimaryAssignment[]): void;
   onDidReceiveCounters(counters: readonly CounterEntry[]): void;
   /** A majority confirmed that the newest catalog of all is known here. */
   onDidConfirmCatalog(): void;
@@ -50,12 +53,12 @@
   readonly address: string;
   /** Addresses of control instances; asked anew at each try. */
   addresses(): readonly string[];
-  readonly leases: LeadLeases;
+  readonly leases: PrimaryLeases;
   readonly catalogLease: CatalogLease;
   /** Counts operations of accounts where control names this proxy for it. */
   readonly counter: PermitCounter;
   readonly capacity: InstanceCapacity;
-  readonly room: ConnectionRoom;
+  readonly connectionQuota: ConnectionQuota;
 }
 
 /**
@@ -112,7 +115,7 @@
       this.redirects = 0;
       this.tryNext();
     });
-    every(this.signal, RENEW_EVERY_MS, () => {
+    every(this.signal, RENEWAL_INTERVAL_MS, () => {
       if (this.attached) this.renewLeases(this.attached);
     });
   }
@@ -160,7 +163,7 @@
       site,
       catalogVersion: this.catalog?.version ?? 0,
       address,
-      shares: counter.held,
+      shares: counter.heldShares,
       counterIdleMs: counter.idleMs,
       capacityCores: capacity.cores,
       capacityLinkMbps: capacity.linkMbps,
@@ -171,17 +174,17 @@
   }
 
   private renewLeases(stream: FollowerStream): void {
-    const {leases, counter, room} = this.options;
-    const number = leases.ask();
+    const {leases, counter, connectionQuota} = this.options;
+    const number = leases.beginRenewal();
     // Counts are told once, to the leader that this proxy follows.
     const isAttached = stream === this.attached;
     const uses = isAttached ? counter.takeReport() : [];
-    const sharesNumber = isAttached ? counter.sharesNumber : 0;
+    const sharesNumber = isAttached ? counter.shareListNumber : 0;
     const value = {
       number,
       uses,
       sharesNumber,
-      ...(isAttached ? room.takeReport() : NO_REPORT),
+      ...(isAttached ? connectionQuota.takeReport() : EMPTY_REPORT),
     };
     stream.write({$case: 'renew', value});
   }
@@ -222,7 +225,7 @@
       case 'connections':
         this.attach(stream);
         this.lookForUrgent();
-        return this.options.room.setGrants(body.value);
+        return this.options.connectionQuota.setGrants(body.value);
     }
   }
 
@@ -231,27 +234,29 @@
     if (this.looks) return;
     this.looks = true;
     every(this.signal, LOOK_MS, () => {
-      const {room} = this.options;
-      if (this.attached && room.isUrgent) this.renewLeases(this.attached);
+      const {connectionQuota} = this.options;
+      if (this.attached && connectionQuota.isReportUrgent) {
+        this.renewLeases(this.attached);
+      }
     });
   }
 
   private onRenewed({number, catalogVersion}: LeasesRenewed): void {
-    const {leases, catalogLease, counter, room} = this.options;
+    const {leases, catalogLease, counter, connectionQuota} = this.options;
     const askedAt = leases.onRenewed(number);
     if (askedAt === undefined) return;
-    counter.extend(askedAt);
-    room.onDidHear(askedAt);
+    counter.extendLease(askedAt);
+    connectionQuota.extendLease(askedAt);
     const holdsNewest = (this.catalog?.version ?? 0) >= catalogVersion;
     if (!holdsNewest) return;
-    catalogLease.extend(askedAt);
+    catalogLease.extendLease(askedAt);
     this.listener.onDidConfirmCatalog();
   }
 
   /** The first list of a stream is complete, so that changes have their base. */
   private onMembers(changes: MemberChanges): void {
     const known = this.members ?? [];
-    this.members = applyListDelta(known, changes, MEMBERS.nameOf);
+    this.members = applyListDelta(known, changes, MEMBER_COMPARER.keyOf);
     this.tellMembers();
   }
 
@@ -263,11 +268,11 @@
   private tellMembers(): void {
     const {members, proxies} = this;
     if (members === undefined) return;
-    this.listener.onDidReceiveMembers({members, proxies});
+    this.listener.onDidReceiveMembers({members, proxyCount: proxies});
   }
 
   private onPoolers(changes: PoolerChanges): void {
-    this.poolers = applyListDelta(this.poolers, changes, POOLERS.nameOf);
+    this.poolers = applyListDelta(this.poolers, changes, POOLER_COMPARER.keyOf);
     this.listener.onDidReceivePoolers({poolers: this.poolers});
   }
 
@@ -297,16 +302,16 @@
     stream: FollowerStream,
     leads: readonly PrimaryAssignment[],
   ): void {
-    for (const returned of this.options.leases.onLeads(leads)) {
+    for (const returned of this.options.leases.onAssignments(leads)) {
       stream.write({$case: 'returned', value: returned});
     }
-    this.listener.onDidReceiveLeads(leads);
+    this.listener.onDidReceiveAssignments(leads);
   }
 
   private attach(stream: FollowerStream): void {
     if (this.attached === stream) return;
     this.attached = stream;
-    this.options.room.onDidAttach();
+    this.options.connectionQuota.onDidAttach();
     for (const other of [...this.attempts.values()]) {
       if (other !== stream) this.drop(other);
     }
--- a/src/services/fleet_link/node/fleet_leader.ts
+++ b/src/services/fleet_link/node/fleet_leader.ts
@@ -3,22 +3,22 @@
 import type {MessageLink} from '../../../base/node/message_link';
 import type {MessageServer} from '../../../base/node/message_server';
 import {after, every} from '../../../base/node/timers';
-import type {LeadBoard} from '../../lease/common/lead_board';
+import type {PublishedPrimaries} from '../../lease/common/published_primaries';
 import type {LeaseHolders} from '../../lease/common/lease_holders';
-import {CatalogMessages} from './catalog_messages';
+import {CatalogFrames} from './catalog_frames';
 import {
-  CounterExchange,
-  logJudgements,
-  type CountingSource,
-} from './counter_exchange';
+  CounterSession,
+  logLimitChanges,
+  type CounterSource,
+} from './counter_session';
 import {FLEET_PROTOCOL} from './fleet_protocol';
-import {MEMBERS, POOLERS} from '../common/fleet_lists';
+import {MEMBER_COMPARER, POOLER_COMPARER} from '../common/fleet_lists';
 import {
   capacityOf,
   UNKNOWN_CAPACITY,
   type InstanceCapacity,
-} from '../../room/common/capacity';
-import type {RoomAllocator} from '../../room/common/room_allocator';
+} from '../../connection_quota/common/capacity';
+import type {ConnectionAllocator} from '../../connection_quota/common/connection_allocator';
 import {ListFrames} from './list_frames';
 import type {
   Catalog,
@@ -46,11 +46,11 @@
   catalogVersion: number;
   membersRevision: number;
   readonly complaints: Map<string, PrimaryReport>;
-  readonly counting: CounterExchange;
+  readonly counting: CounterSession;
 }
 
 /** What the leader tells its proxies from. */
-export interface FleetSource extends CountingSource {
+export interface FleetSource extends CounterSource {
   /** Whether this instance leads and knows all that was committed. */
   isLeading(): boolean;
   leaderAddress(): string;
@@ -62,11 +62,11 @@
   poolers(): readonly PoolerEntry[];
   poolersRevision(): number;
   /** How many proxies there usually are; 0 where that is not known. */
-  usualProxies(): number;
-  leads(): LeadBoard;
+  expectedProxyCount(): number;
+  publishedPrimaries(): PublishedPrimaries;
   holders(): LeaseHolders;
   /** Who may open how many connections, in this leadership. */
-  room(): RoomAllocator;
+  connectionAllocator(): ConnectionAllocator;
   /** Proves by a majority that this instance led after the call. */
   confirm(): Promise<boolean>;
 }
@@ -93,7 +93,7 @@
 /** Control's side of the exchange with proxies. */
 export class FleetLeader {
   private readonly followers = new Set<Follower>();
-  private readonly catalogMessages = new CatalogMessages();
+  private readonly catalogMessages = new CatalogFrames();
   private members = makeMemberFrames();
   private poolers = makePoolerFrames();
   private proxies = 0;
@@ -135,7 +135,7 @@
     this.pushedAt = this.clock.now();
     if (this.source.isLeading()) {
       this.countProxies();
-      logJudgements(this.source.shares(), this.clock, this.log);
+      logLimitChanges(this.source.shares(), this.clock, this.log);
       for (const follower of this.followers) this.pushTo(follower);
       this.pushRoom();
       // Some asked before this instance led.
@@ -157,7 +157,7 @@
   }
 
   /** Sends news at once, or with others that follow within a moment. */
-  pushSoon(): void {
+  schedulePush(): void {
     if (this.isPushDue) return;
     const waitMs = this.pushedAt + LEAST_PUSH_MS - this.clock.now();
     if (waitMs <= 0) return this.push();
@@ -175,7 +175,7 @@
    * proxies would keep them, and changes made on the other side would not
    * reach them for as long as the cut lasts.
    */
-  onDidLoseLead(): void {
+  onDidLoseLeadership(): void {
     this.countedAt = undefined;
     this.proxies = 0;
     // Revisions of lists begin anew with each leadership.
@@ -187,7 +187,7 @@
   }
 
   /** How many proxies complain of a member, and for how long half did. */
-  complaintsOf(service: string, instance: string) {
+  failureReportsOf(service: string, instance: string) {
     const attached = this.witnessesOf(service);
     const complaining = attached.filter(({complaints}) => {
       return complaints.get(service)?.instance === instance;
@@ -250,7 +250,7 @@
       membersRevision: 0,
       toldProxies: undefined,
       complaints: new Map(),
-      counting: new CounterExchange(this.source, this.clock, message => {
+      counting: new CounterSession(this.source, this.clock, message => {
         link.write(message);
       }),
     };
@@ -288,7 +288,7 @@
       // One that waits here for an election has counted nothing.
       if (this.source.isLeading()) follower.counting.onReport(body.value);
       this.source
-        .room()
+        .connectionAllocator()
         .report(follower.instance, body.value, this.clock.now());
       this.pushRoom();
       this.renew();
@@ -364,34 +364,34 @@
     const catalog = this.source.catalog();
     if (!catalog || catalog.version <= follower.catalogVersion) return;
     const {catalogVersion} = follower;
-    const frame = this.catalogMessages.frameFrom(catalogVersion, catalog);
+    const frame = this.catalogMessages.frameSince(catalogVersion, catalog);
     follower.catalogVersion = catalog.version;
     follower.link.writeFrame(frame);
   }
 
   private pushPoolers(follower: Follower): void {
     const {source, poolers} = this;
-    const revision = poolers.take(source.poolersRevision(), () => {
+    const revision = poolers.update(source.poolersRevision(), () => {
       return source.poolers();
     });
     if (follower.poolersRevision === revision) return;
-    follower.link.writeFrame(poolers.frameFrom(follower.poolersRevision));
+    follower.link.writeFrame(poolers.frameSince(follower.poolersRevision));
     follower.poolersRevision = revision;
   }
 
   private pushMembers(follower: Follower): void {
     const {source, members} = this;
-    const revision = members.take(source.membersRevision(), () => {
+    const revision = members.update(source.membersRevision(), () => {
       return source.members();
     });
     if (follower.membersRevision === revision) return;
-    follower.link.writeFrame(members.frameFrom(follower.membersRevision));
+    follower.link.writeFrame(members.frameSince(follower.membersRevision));
     follower.membersRevision = revision;
   }
 
   /** Apart from the members: it changes with each proxy that comes or goes. */
   private pushCount(follower: Follower): void {
-    const proxies = this.proxies || this.source.usualProxies();
+    const proxies = this.proxies || this.source.expectedProxyCount();
     if (follower.toldProxies === proxies) return;
     follower.toldProxies = proxies;
     follower.link.write({body: {$case: 'count', value: {proxies}}});
@@ -399,24 +399,24 @@
 
   /** Who may open how many connections, to whom that changed for. */
   private pushRoom(): void {
-    const room = this.source.room();
-    if (!room.isInUse || !this.source.isLeading()) return;
+    const room = this.source.connectionAllocator();
+    if (!room.isActive || !this.source.isLeading()) return;
     const followers = new Map(this.attached.map(one => [one.instance, one]));
-    for (const {pooler, value} of room.take(
+    for (const {pooler, value} of room.allocate(
       followers.keys(),
       this.clock.now(),
     )) {
       const link = followers.get(pooler)?.link;
       link?.write({body: {$case: 'connections', value}});
     }
-    for (const change of room.takeChanges()) {
+    for (const change of room.takeLargeChanges()) {
       this.log.info('Shares connections anew.', {...change});
     }
   }
 
   private pushLeads(follower: Follower): void {
-    const board = this.source.leads();
-    const leads = board.since(follower.leadsRevision);
+    const board = this.source.publishedPrimaries();
+    const leads = board.changedSince(follower.leadsRevision);
     if (leads.length === 0) return;
     follower.leadsRevision = board.revision;
     follower.link.write({body: {$case: 'leads', value: {leads}}});
@@ -428,7 +428,7 @@
     const {instance} = follower;
     this.log.info('A proxy is detached.', {instance});
     if (instance === '') return;
-    this.source.room().detach(instance);
+    this.source.connectionAllocator().detach(instance);
     this.pushRoom();
   }
 
@@ -438,15 +438,21 @@
 }
 
 function makeMemberFrames(): ListFrames<Member> {
-  return new ListFrames<Member>(MEMBERS, ({complete, changed, gone}) => ({
-    $case: 'members',
-    value: {complete, changed: [...changed], gone: [...gone]},
-  }));
+  return new ListFrames<Member>(
+    MEMBER_COMPARER,
+    ({complete, changed, gone}) => ({
+      $case: 'members',
+      value: {complete, changed: [...changed], gone: [...gone]},
+    }),
+  );
 }
 
 function makePoolerFrames(): ListFrames<PoolerEntry> {
-  return new ListFrames<PoolerEntry>(POOLERS, ({complete, changed, gone}) => ({
-    $case: 'poolers',
-    value: {complete, changed: [...changed], gone: [...gone]},
-  }));
+  return new ListFrames<PoolerEntry>(
+    POOLER_COMPARER,
+    ({complete, changed, gone}) => ({
+      $case: 'poolers',
+      value: {complete, changed: [...changed], gone: [...gone]},
+    }),
+  );
 }
--- a/src/services/fleet_link/node/list_frames.ts
+++ b/src/services/fleet_link/node/list_frames.ts
@@ -1,10 +1,10 @@
 import {encodeFrame} from '../../../base/node/message_frames';
 import {LeaderMessage} from '../../../schema/generated/fleet';
 import {
-  KeyedChanges,
-  type EntryKind,
+  RevisionedList,
+  type EntryComparer,
   type ListDelta,
-} from '../common/keyed_changes';
+} from '../common/revisioned_list';
 
 type Body = NonNullable<LeaderMessage['body']>;
 
@@ -16,33 +16,33 @@
  * first.
  */
 export class ListFrames<T> {
-  private readonly changes: KeyedChanges<T>;
+  private readonly changes: RevisionedList<T>;
   private readonly frames = new Map<number, Uint8Array>();
   private takenRevision: number | undefined;
 
   constructor(
-    kind: EntryKind<T>,
+    kind: EntryComparer<T>,
     private readonly bodyOf: (delta: ListDelta<T>) => Body,
   ) {
-    this.changes = new KeyedChanges(kind);
+    this.changes = new RevisionedList(kind);
   }
 
   /** Takes the list as it is at its owner's revision; the revision of frames. */
-  take(ownRevision: number, list: () => readonly T[]): number {
+  update(ownRevision: number, list: () => readonly T[]): number {
     if (ownRevision !== this.takenRevision) {
       this.takenRevision = ownRevision;
       const {revision} = this.changes;
-      this.changes.take(list());
+      this.changes.update(list());
       if (this.changes.revision !== revision) this.frames.clear();
     }
     return this.changes.revision;
   }
 
   /** The frame for a proxy that heard of a revision; 0 where of none. */
-  frameFrom(revision: number): Uint8Array {
+  frameSince(revision: number): Uint8Array {
     const known = this.frames.get(revision);
     if (known) return known;
-    const body = this.bodyOf(this.changes.since(revision));
+    const body = this.bodyOf(this.changes.deltaSince(revision));
     const frame = encodeFrame(LeaderMessage, {body});
     this.frames.set(revision, frame);
     return frame;
--- a/src/services/fleet_link/test/common/keyed_changes.test.ts
+++ b/src/services/fleet_link/test/common/revisioned_list.test.ts
@@ -1,8 +1,8 @@
 import {describe, expect, it} from 'vitest';
 import {SeededRandom} from '../../../../base/common/random';
 import {MemberChanges, type Member} from '../../../../schema/generated/fleet';
-import {MEMBERS} from '../../common/fleet_lists';
-import {applyListDelta, KeyedChanges} from '../../common/keyed_changes';
+import {MEMBER_COMPARER} from '../../common/fleet_lists';
+import {applyListDelta, RevisionedList} from '../../common/revisioned_list';
 
 function makeMember(instance: string, over: Partial<Member> = {}): Member {
   return {
@@ -38,17 +38,17 @@
   it('bring every reader to the list, whatever it missed', () => {
     for (let seed = 1; seed <= 200; seed++) {
       const random = new SeededRandom(seed);
-      const changes = new KeyedChanges(MEMBERS);
+      const changes = new RevisionedList(MEMBER_COMPARER);
       const readers = Array.from({length: 4}, () => {
         return {revision: 0, list: [] as Member[]};
       });
       let list: Member[] = [];
       for (let step = 0; step < 30; step++) {
         list = change(list, random);
-        changes.take(list);
+        changes.update(list);
         const reader = readers[random.integer(0, 3)]!;
-        const delta = changes.since(reader.revision);
-        reader.list = applyListDelta(reader.list, delta, MEMBERS.nameOf);
+        const delta = changes.deltaSince(reader.revision);
+        reader.list = applyListDelta(reader.list, delta, MEMBER_COMPARER.keyOf);
         reader.revision = changes.revision;
         expect(byName(reader.list), `seed ${seed}`).toEqual(byName(list));
       }
@@ -56,15 +56,19 @@
   });
 
   it('are told whole to a reader that missed too many that went', () => {
-    const changes = new KeyedChanges(MEMBERS);
-    changes.take([makeMember('stays'), makeMember('goes')]);
+    const changes = new RevisionedList(MEMBER_COMPARER);
+    changes.update([makeMember('stays'), makeMember('goes')]);
     const {revision} = changes;
     for (let at = 0; at < 1_100; at++) {
-      changes.take([makeMember('stays'), makeMember(`passing-${at}`)]);
+      changes.update([makeMember('stays'), makeMember(`passing-${at}`)]);
     }
-    const delta = changes.since(revision);
+    const delta = changes.deltaSince(revision);
     expect(delta.complete).toBe(true);
-    const list = applyListDelta([makeMember('goes')], delta, MEMBERS.nameOf);
+    const list = applyListDelta(
+      [makeMember('goes')],
+      delta,
+      MEMBER_COMPARER.keyOf,
+    );
     expect(list.map(({instance}) => instance)).not.toContain('goes');
   });
 
@@ -74,11 +78,11 @@
     const members = Array.from({length: 1_000}, (...[, at]) => {
       return makeMember(`member-${at}`);
     });
-    const changes = new KeyedChanges(MEMBERS);
-    changes.take(members);
+    const changes = new RevisionedList(MEMBER_COMPARER);
+    changes.update(members);
     const {revision} = changes;
-    changes.take([...members.slice(1), makeMember('member-new')]);
-    const {complete, changed, gone} = changes.since(revision);
+    changes.update([...members.slice(1), makeMember('member-new')]);
+    const {complete, changed, gone} = changes.deltaSince(revision);
     const value = {complete, changed: [...changed], gone: [...gone]};
     expect(MemberChanges.encode(value).finish().length).toBeLessThan(120);
   });
--- a/src/services/fleet_link/test/node/fleet_link.test.ts
+++ b/src/services/fleet_link/test/node/fleet_link.test.ts
@@ -19,14 +19,14 @@
   FakeCounter,
   makeCounter,
   makeShare,
-} from '../../../account/test/common/counting_fakes';
-import {LeadBoard} from '../../../lease/common/lead_board';
-import {LeadLeases} from '../../../lease/common/lead_leases';
+} from '../../../account/test/common/permit_counting_fakes';
+import {PublishedPrimaries} from '../../../lease/common/published_primaries';
+import {PrimaryLeases} from '../../../lease/common/primary_leases';
 import {LeaseHolders} from '../../../lease/common/lease_holders';
-import {makeLead} from '../../../lease/test/common/lease_fixture';
-import {ConnectionRoom} from '../../../room/common/connection_room';
-import {UNKNOWN_CAPACITY} from '../../../room/common/capacity';
-import {RoomAllocator} from '../../../room/common/room_allocator';
+import {makeAssignment} from '../../../lease/test/common/lease_fixture';
+import {ConnectionQuota} from '../../../connection_quota/common/connection_quota';
+import {UNKNOWN_CAPACITY} from '../../../connection_quota/common/capacity';
+import {ConnectionAllocator} from '../../../connection_quota/common/connection_allocator';
 import {FleetFollower} from '../../node/fleet_follower';
 import {FleetLeader} from '../../node/fleet_leader';
 
@@ -41,10 +41,10 @@
   members: Member[] = [];
   isConfirmed = true;
   usualProxies = 0;
-  readonly board = new LeadBoard();
+  readonly board = new PublishedPrimaries();
   allocator = new FakeAllocator();
   counters: readonly CounterEntry[] = [];
-  room = new RoomAllocator(-Infinity);
+  room = new ConnectionAllocator(-Infinity);
   readonly holders = new LeaseHolders(-Infinity);
   readonly clock = new ManualClock();
   readonly logged = makeLog();
@@ -61,12 +61,12 @@
         membersRevision: () => 1,
         poolers: () => this.poolers,
         poolersRevision: () => this.poolers.length,
-        usualProxies: () => this.usualProxies,
-        leads: () => this.board,
+        expectedProxyCount: () => this.usualProxies,
+        publishedPrimaries: () => this.board,
         holders: () => this.holders,
         counters: () => this.counters,
         shares: () => this.allocator,
-        room: () => this.room,
+        connectionAllocator: () => this.room,
         confirm: () => Promise.resolve(this.isConfirmed),
       },
       this.clock,
@@ -93,9 +93,9 @@
 let rosters: string[];
 let counter: FakeCounter;
 let counterLists: string[];
-let leases: LeadLeases;
+let leases: PrimaryLeases;
 let catalogLease: CatalogLease;
-let room: ConnectionRoom;
+let room: ConnectionQuota;
 
 beforeEach(async () => {
   stop = new AbortController();
@@ -105,8 +105,8 @@
   rosters = [];
   counter = new FakeCounter();
   counterLists = [];
-  leases = new LeadLeases(new MonotonicClock());
-  room = new ConnectionRoom(new MonotonicClock());
+  leases = new PrimaryLeases(new MonotonicClock());
+  room = new ConnectionQuota(new MonotonicClock());
   catalogLease = new CatalogLease(5_000, new MonotonicClock());
   first = new Instance();
   second = new Instance();
@@ -126,16 +126,16 @@
       leases,
       catalogLease,
       counter,
-      room,
+      connectionQuota: room,
       capacity: UNKNOWN_CAPACITY,
     },
     {
       onDidReceiveCatalog: catalog => catalogs.push(catalog),
-      onDidReceiveMembers: ({members, proxies}) => {
-        counts.push(proxies);
+      onDidReceiveMembers: ({members, proxyCount}) => {
+        counts.push(proxyCount);
         rosters.push(members.map(({instance}) => instance).join(' '));
       },
-      onDidReceiveLeads: () => {},
+      onDidReceiveAssignments: () => {},
       onDidConfirmCatalog: () => {},
       onDidReceiveCounters: list => {
         counterLists.push(list.map(({instance}) => instance).join(' '));
@@ -182,7 +182,7 @@
   const follower = follow();
   await until(() => catalogs.length === 1);
   first.leads = false;
-  first.leader.onDidLoseLead();
+  first.leader.onDidLoseLeadership();
   second.leads = true;
   second.version = 2;
   await until(() => catalogs.at(-1)?.version === 2);
@@ -228,7 +228,7 @@
   // All machines lost power, and the proxy is back before the first control
   // instance on its list, which takes connections and says nothing. Waiting
   // for it alone kept proxies from the leader for up to 2 s.
-  first.leader.onDidLoseLead();
+  first.leader.onDidLoseLeadership();
   second.leads = true;
   const started = Date.now();
   follow();
@@ -254,7 +254,7 @@
   const follower = follow();
   await until(() => rosters.includes('old'));
   first.leads = false;
-  first.leader.onDidLoseLead();
+  first.leader.onDidLoseLeadership();
   await until(() => !follower.isAttached);
   first.members = [makeMember('new')];
   first.leads = true;
@@ -293,8 +293,10 @@
   const others = [follow('p2'), follow('p3')];
   await until(() => [pooler, ...others].every(one => one.isAttached));
   pooler.report({service: 'books', instance: 'm1', trouble: 'unreachable'});
-  await until(() => first.leader.complaintsOf('books', 'm1').complaints === 1);
-  expect(first.leader.complaintsOf('books', 'm1').proxies).toBe(1);
+  await until(
+    () => first.leader.failureReportsOf('books', 'm1').complaints === 1,
+  );
+  expect(first.leader.failureReportsOf('books', 'm1').proxies).toBe(1);
 });
 
 it('tells proxies what changed in a catalog, and new ones all of it', async () => {
@@ -335,18 +337,18 @@
   // A primary is cut off from control and goes on answering some proxies. They
   // may rely on it only while control confirms its lead, and must say at once
   // that they no longer do, so that the next one can lead.
-  first.board.name(makeLead('m1', 7));
+  first.board.offer(makeAssignment('m1', 7));
   first.leads = true;
   follow();
   await until(() => leases.isHeld('books', 7));
-  expect(first.holders.relyingOn('books', 7, first.clock.now())).toEqual([
+  expect(first.holders.holdersOf('books', 7, first.clock.now())).toEqual([
     'p1',
   ]);
   first.board.revoke('books');
   first.leader.push();
   await until(() => {
     const {clock} = first;
-    return first.holders.relyingOn('books', 7, clock.now()).length === 0;
+    return first.holders.holdersOf('books', 7, clock.now()).length === 0;
   });
   expect(leases.isHeld('books', 7)).toBe(false);
 });
@@ -354,7 +356,7 @@
 it('grants no lease that no majority confirmed', async () => {
   // A leader of control was frozen and replaced. It wakes up and answers the
   // proxy that still follows it, before it hears of the other leader.
-  first.board.name(makeLead('m1', 7));
+  first.board.offer(makeAssignment('m1', 7));
   first.isConfirmed = false;
   first.leads = true;
   follow();
@@ -375,16 +377,16 @@
 
 it('gives a counter its shares and hears what it counted', async () => {
   first.leads = true;
-  counter.held = [makeShare('fern')];
+  counter.heldShares = [makeShare('fern')];
   first.allocator.lists.set('p1', {shares: [makeShare('oak')], number: 1});
   follow();
-  await until(() => counter.sharesNumber === 1);
+  await until(() => counter.shareListNumber === 1);
   counter.uses.push({account: 'oak', run: 3, refused: 2});
   const {calls} = first.allocator;
   await until(() => calls.includes('in force p1 1'));
   expect(calls[0]).toBe('attached p1 with fern');
   expect(calls).toContain('use p1 oak 3 2');
-  expect(counter.held).toEqual([makeShare('oak')]);
+  expect(counter.heldShares).toEqual([makeShare('oak')]);
 });
 
 it('counts a confirmed question before its counter relies on it', async () => {
@@ -394,7 +396,7 @@
   first.leads = true;
   let renewedAtAnswer: boolean | undefined;
   const {calls} = first.allocator;
-  counter.extend = () => {
+  counter.extendLease = () => {
     renewedAtAnswer ??= calls.includes('renewed p1');
   };
   follow();
@@ -410,7 +412,7 @@
   follow();
   await until(() => catalogs.length > 0);
   await new Promise(resolve => setTimeout(resolve, 600));
-  expect(counter.extensions).toBe(0);
+  expect(counter.leaseExtensionCount).toBe(0);
   expect(first.allocator.calls).not.toContain('renewed p1');
 });
 
@@ -418,7 +420,7 @@
   // All of control restarts. A counter waits at an instance that then leads:
   // its shares are in force, and the new leader has to count them before it
   // gives any.
-  counter.held = [makeShare('fern')];
+  counter.heldShares = [makeShare('fern')];
   const follower = follow();
   await new Promise(resolve => setTimeout(resolve, 200));
   expect(first.allocator.calls).toEqual([]);
@@ -427,8 +429,8 @@
   await until(() => follower.isAttached);
   expect(first.allocator.calls[0]).toBe('attached p1 with fern');
   first.leads = false;
-  first.leader.onDidLoseLead();
-  await until(() => counter.detachments === 1);
+  first.leader.onDidLoseLeadership();
+  await until(() => counter.detachCount === 1);
 });
 
 it('tells proxies of the counters, and of each change', async () => {
--- a/src/services/fleet_link/test/node/leader_load.test.ts
+++ b/src/services/fleet_link/test/node/leader_load.test.ts
@@ -14,10 +14,10 @@
   makeLog,
   makeRoute,
 } from '../../../gateway/test/node/session_fixture';
-import {FakeAllocator} from '../../../account/test/common/counting_fakes';
-import {LeadBoard} from '../../../lease/common/lead_board';
+import {FakeAllocator} from '../../../account/test/common/permit_counting_fakes';
+import {PublishedPrimaries} from '../../../lease/common/published_primaries';
 import {LeaseHolders} from '../../../lease/common/lease_holders';
-import {RoomAllocator} from '../../../room/common/room_allocator';
+import {ConnectionAllocator} from '../../../connection_quota/common/connection_allocator';
 import {FleetLeader} from '../../node/fleet_leader';
 
 /** One proxy's link to the leader, which counts what it is sent. */
@@ -88,10 +88,10 @@
   private readonly leader: FleetLeader;
 
   constructor(private members: readonly Member[]) {
-    const board = new LeadBoard();
+    const board = new PublishedPrimaries();
     const holders = new LeaseHolders(-Infinity);
     const allocator = new FakeAllocator();
-    const room = new RoomAllocator(0);
+    const room = new ConnectionAllocator(0);
     const catalog = makeCatalog([makeRoute()]);
     this.leader = new FleetLeader(
       {
@@ -103,12 +103,12 @@
         membersRevision: () => this.revision,
         poolers: () => [],
         poolersRevision: () => 1,
-        usualProxies: () => 0,
-        leads: () => board,
+        expectedProxyCount: () => 0,
+        publishedPrimaries: () => board,
         holders: () => holders,
         counters: () => NO_COUNTERS,
         shares: () => allocator,
-        room: () => room,
+        connectionAllocator: () => room,
         confirm: () => {
           this.confirmations++;
           return Promise.resolve(true);
@@ -136,7 +136,7 @@
   announce(member: Member): void {
     this.members = [...this.members, member];
     this.revision++;
-    this.leader.pushSoon();
+    this.leader.schedulePush();
   }
 
   /** A second in which the leader looks four times for what is new. */
