--- a/src/services/fleet_state/common/fleet_machine.ts
+++ b/src/services/fleet_state/common/fleet_state_machine.ts
@@ -24,13 +24,13 @@
  * newest catalog, the members whose logs count at a promotion, who leads each
  * service by which decision, and the poolers.
  */
-export class FleetMachine {
+export class FleetStateMachine {
   private version = 0;
   private source: Buffer = Buffer.alloc(0);
   private registered: Member[] = [];
   private named: readonly PoolerEntry[] = [];
   private namedAt = 0;
-  private proxyCount = 0;
+  private recordedProxyCount = 0;
   private countersNamed: readonly CounterEntry[] = [];
   private readonly leadOf = new Map<string, PrimaryAssignment>();
 
@@ -62,8 +62,8 @@
   }
 
   /** How many proxies there usually are; 0 where that is not known. */
-  get proxies(): number {
-    return this.proxyCount;
+  get expectedProxyCount(): number {
+    return this.recordedProxyCount;
   }
 
   /** The proxies that count operations of accounts, or may still do so. */
@@ -72,12 +72,12 @@
   }
 
   /** Who leads each service, by the newest decision. */
-  get leads(): readonly PrimaryAssignment[] {
+  get assignments(): readonly PrimaryAssignment[] {
     return [...this.leadOf.values()];
   }
 
   /** Who leads a service; undefined before the first decision. */
-  lead(service: string): PrimaryAssignment | undefined {
+  assignmentOf(service: string): PrimaryAssignment | undefined {
     return this.leadOf.get(service);
   }
 
@@ -113,15 +113,15 @@
         this.namedAt = index;
         return;
       case 'countProxies':
-        this.proxyCount = body.value.proxies;
+        this.recordedProxyCount = body.value.proxies;
         return;
       case 'nameCounters':
         this.countersNamed = body.value.counters;
         return;
       case 'nameLead':
-        return this.nameLead(index, body.value);
+        return this.assignPrimary(index, body.value);
       case 'settleLead':
-        return this.settleLead(body.value.service, body.value.epoch);
+        return this.completePromotion(body.value.service, body.value.epoch);
       default:
         return;
     }
@@ -134,8 +134,8 @@
       members: this.registered,
       poolers: [...this.named],
       poolersIndex: this.namedAt,
-      leads: [...this.leads],
-      proxies: this.proxyCount,
+      leads: [...this.assignments],
+      proxies: this.recordedProxyCount,
       counters: [...this.countersNamed],
     };
     return Buffer.from(FleetState.encode(state).finish());
@@ -144,7 +144,7 @@
   restore(state: Buffer): void {
     const decoded = FleetState.decode(state);
     const {version, source, members, poolers, poolersIndex, leads} = decoded;
-    this.proxyCount = decoded.proxies;
+    this.recordedProxyCount = decoded.proxies;
     this.countersNamed = decoded.counters;
     this.leadOf.clear();
     for (const lead of leads) this.leadOf.set(lead.service, lead);
@@ -174,7 +174,10 @@
     this.registered.push(member);
   }
 
-  private nameLead(epoch: number, {service, instance, ordered}: AssignPrimary) {
+  private assignPrimary(
+    epoch: number,
+    {service, instance, ordered}: AssignPrimary,
+  ) {
     const known = this.leadOf.get(service);
     // A copy of an earlier order for the same member may still be on its way.
     const wasOrdered = known?.instance === instance && known.pending;
@@ -182,7 +185,7 @@
     this.leadOf.set(service, {service, instance, epoch, pending});
   }
 
-  private settleLead(service: string, epoch: number): void {
+  private completePromotion(service: string, epoch: number): void {
     const lead = this.leadOf.get(service);
     if (lead?.epoch !== epoch) return;
     this.leadOf.set(service, {...lead, pending: false});
--- a/src/services/freshness/common/position_samples.ts
+++ b/src/services/freshness/common/position_samples.ts
@@ -27,7 +27,7 @@
   }
 
   /** When the newest sample was asked for; -Infinity without one. */
-  get newestAt(): number {
+  get newestAskedAt(): number {
     return this.samples.at(-1)?.askedAt ?? -Infinity;
   }
 
@@ -50,7 +50,7 @@
    * The lowest known position that covers every commit acknowledged before a
    * time; undefined where no sample is that new.
    */
-  covering(time: number): Position | undefined {
+  findCovering(time: number): Position | undefined {
     let low = 0;
     let high = this.samples.length;
     while (low < high) {
@@ -65,7 +65,7 @@
    * How long ago, at the least, the primary went past a position, in ms; 0
    * where the position is the newest that is known.
    */
-  lagOf(held: Position, now: number): number {
+  minLagMs(held: Position, now: number): number {
     const {samples} = this;
     for (let at = samples.length - 1; at >= 0; at--) {
       if (comparePositions(samples[at]!.position, held) > 0) continue;
--- a/src/services/freshness/test/common/position_samples.test.ts
+++ b/src/services/freshness/test/common/position_samples.test.ts
@@ -8,16 +8,16 @@
     const samples = new PositionSamples();
     samples.add(100, at(5));
     samples.add(200, at(9));
-    expect(samples.covering(100)).toEqual(at(5));
-    expect(samples.covering(150)).toEqual(at(9));
-    expect(samples.covering(201)).toBeUndefined();
+    expect(samples.findCovering(100)).toEqual(at(5));
+    expect(samples.findCovering(150)).toEqual(at(9));
+    expect(samples.findCovering(201)).toBeUndefined();
   });
 
   it('keep covering times between samples that were thinned out', () => {
     const samples = new PositionSamples();
     for (let time = 0; time <= 1_000; time += 10) samples.add(time, at(time));
     for (let time = 0; time < 1_000; time += 7) {
-      const covering = samples.covering(time)!;
+      const covering = samples.findCovering(time)!;
       expect(covering.offset).toBeGreaterThanOrEqual(time);
     }
   });
@@ -29,7 +29,7 @@
     const samples = new PositionSamples();
     samples.add(100, at(50, 1));
     samples.add(200, at(48, 2));
-    expect(samples.covering(90)).toEqual(at(48, 2));
+    expect(samples.findCovering(90)).toEqual(at(48, 2));
   });
 
   it('do not take the word of a term that is over', () => {
--- a/src/services/gateway/common/session_access.ts
+++ b/src/services/gateway/common/caller_access.ts
@@ -11,7 +11,7 @@
   | 'unconfirmed';
 
 /** Who a caller was found to be at its start. */
-export interface Admission {
+export interface CallerAccess {
   readonly database: string;
   readonly caller: CallerName;
   /** Whose connections to members its work uses. */
--- a/src/services/gateway/common/session_memory.ts
+++ b/src/services/gateway/common/gateway_session_state.ts
@@ -1,6 +1,6 @@
 import type {Position} from '../../position/common/position';
 import {laterPosition} from '../../position/common/position';
-import type {OwnCommit} from '../../dispatch/common/place_request';
+import type {OwnCommit} from '../../dispatch/common/checkout_request';
 import type {
   PreparedAction,
   Statement,
@@ -14,7 +14,7 @@
 }
 
 /** What a connection to a member has of earlier sessions. */
-export interface LinkMemory {
+export interface ConnectionState {
   readonly values: Map<string, string>;
   /** Names on the connection, by what they do. */
   readonly prepared: Map<string, string>;
@@ -24,21 +24,24 @@
 const MOST_ENTRIES = 1_000;
 
 /** What a session keeps between transactions, on whichever connection. */
-export class SessionMemory {
+export class GatewaySessionState {
   readonly values = new Map<string, string>();
   private readonly prepared = new Map<string, PreparedStatement>();
   private newest: OwnCommit | undefined;
 
   /** The session's newest commit. */
-  get own(): OwnCommit | undefined {
+  get lastCommit(): OwnCommit | undefined {
     return this.newest;
   }
 
   /** Takes note of an acknowledged commit and the time of its answer. */
-  onCommit(position: Position | undefined, at: number): void {
+  recordCommit(position: Position | undefined, at: number): void {
     if (!position) return;
     const known = this.newest?.position ?? position;
-    this.newest = {position: laterPosition(known, position), at};
+    this.newest = {
+      position: laterPosition(known, position),
+      acknowledgedAt: at,
+    };
   }
 
   /** False where the session has as many values as it may. */
@@ -60,7 +63,7 @@
     return this.prepared.delete(name);
   }
 
-  lookUp(name: string): PreparedStatement | undefined {
+  findPrepared(name: string): PreparedStatement | undefined {
     return this.prepared.get(name);
   }
 
@@ -70,7 +73,7 @@
    * Values that the session does not have can only be cleared all together,
    * and prepared statements go with them.
    */
-  valuesFor(link: LinkMemory): TargetStatement[] {
+  statementsToRestore(link: ConnectionState): TargetStatement[] {
     const statements: TargetStatement[] = [];
     const isForeign = [...link.values.keys()].some(name => {
       return !this.values.has(name);
@@ -93,9 +96,9 @@
    * connection, and the preparing of it where it is missing there. Names are
    * the connection's own, by shape: those of sessions collide.
    */
-  executionFor(
+  resolveExecute(
     statement: Statement & {kind: 'execute'},
-    link: LinkMemory,
+    link: ConnectionState,
   ): {prelude: TargetStatement[]; statement: TargetStatement} | undefined {
     const known = this.prepared.get(statement.name);
     if (!known) return undefined;
--- a/src/services/gateway/node/catalog_access.ts
+++ b/src/services/gateway/node/catalog_authorizer.ts
@@ -9,10 +9,10 @@
 import {digestOfKey} from '../../account/node/key_digest';
 import type {CatalogIndex} from '../../catalog/common/catalog';
 import {SHARED_USER} from '../../target_link/common/target_link';
-import type {AccessDenial, Admission} from '../common/session_access';
+import type {AccessDenial, CallerAccess} from '../common/caller_access';
 
 /** Tells by the catalog in force who a caller is and what it may do. */
-export class CatalogAccess {
+export class CatalogAuthorizer {
   constructor(
     private readonly catalog: () => CatalogIndex | undefined,
     private readonly lease: CatalogLease,
@@ -22,13 +22,16 @@
    * Tells nothing of a database to a caller without a key of an account, not
    * even whether there is one of that name.
    */
-  admit(database: string, credential: string): Result<Admission, AccessDenial> {
+  admit(
+    database: string,
+    credential: string,
+  ): Result<CallerAccess, AccessDenial> {
     const route = this.route(database);
     if (route && !route.keyed) return ok(this.admitAnybody(credential, route));
     const accounts = this.catalog()?.accounts;
     if (route && !this.lease.isHeld) return err('unconfirmed');
     const digest = digestOfKey(credential);
-    const holder = accounts?.holderOf(digest);
+    const holder = accounts?.findByDigest(digest);
     if (!holder) {
       const isKeyed = accounts !== undefined && !accounts.isEmpty;
       return err(isKeyed ? 'not authorized' : 'unknown database');
@@ -46,7 +49,7 @@
   private admitAnybody(
     credential: string,
     {database}: DatabaseRoute,
-  ): Admission {
+  ): CallerAccess {
     return {
       database,
       caller: this.nameOf(credential),
@@ -74,7 +77,7 @@
   ): AccessDenial | undefined {
     const route = this.route(database);
     if (route && !route.keyed) return 'route changed';
-    const holder = this.catalog()?.accounts.holderOf(digest);
+    const holder = this.catalog()?.accounts.findByDigest(digest);
     if (holder?.account !== caller) return 'not authorized';
     return this.lease.isHeld ? undefined : 'unconfirmed';
   }
--- a/src/services/gateway/node/member_turn.ts
+++ b/src/services/gateway/node/checked_out_connection.ts
@@ -1,26 +1,29 @@
 import {settled, type Task} from '../../../base/node/task';
-import type {Grant, Observation} from '../../dispatch/node/dispatcher_messages';
+import type {
+  Checkout,
+  MemberObservation,
+} from '../../dispatch/node/dispatcher_messages';
 import type {ServiceDispatcher} from '../../dispatch/node/service_dispatcher';
 import type {
   TargetCall,
   TargetReply,
   TargetStatement,
 } from '../../statement/common/statement';
-import type {LeadProofs} from '../../lease/common/lead_leases';
+import type {LeaseChecks} from '../../lease/common/primary_leases';
 import type {Clock} from '../../../base/common/clock';
 
 /** An answer of a member, or its loss. */
-export type TurnReply = TargetReply;
+export type MemberReply = TargetReply;
 
 /** What a turn needs of its session. */
-export interface TurnSurroundings {
+export interface CheckoutDependencies {
   readonly clock: Clock;
-  readonly leases: LeadProofs;
+  readonly leases: LeaseChecks;
 }
 
 /** The place that a session was given. */
-export interface TurnPlace {
-  readonly grant: Grant;
+export interface CheckoutDetails {
+  readonly grant: Checkout;
   readonly service: string;
   /** How long the request waited for it, in milliseconds. */
   readonly waitedMs: number;
@@ -29,17 +32,17 @@
 }
 
 /** A session's hold on a connection, from its grant to its return. */
-export class MemberTurn {
+export class CheckedOutConnection {
   private returned = false;
   private workMs = 0;
 
   constructor(
-    private readonly place: TurnPlace,
+    private readonly place: CheckoutDetails,
     private readonly dispatcher: ServiceDispatcher,
-    private readonly around: TurnSurroundings,
+    private readonly around: CheckoutDependencies,
   ) {}
 
-  get grant(): Grant {
+  get grant(): Checkout {
     return this.place.grant;
   }
 
@@ -59,14 +62,14 @@
    * Guard: the limit holds for a caller that left too. A member that hangs
    * would else keep the connection, one of a few, for nobody.
    */
-  *ask(calls: readonly TargetCall[], timeMs: number): Task<TurnReply[]> {
+  *send(calls: readonly TargetCall[], timeMs: number): Task<MemberReply[]> {
     const {link} = this.grant.pooled;
     const {clock} = this.around;
     const askedAt = clock.now();
     // Also where the caller has left: the connection may never be free again.
     const timer = setTimeout(() => link.close(), Math.max(1, timeMs));
     const promises = link.send(calls);
-    const replies: TurnReply[] = [];
+    const replies: MemberReply[] = [];
     for (const promise of promises) {
       const done = yield* settled(promise);
       replies.push(
@@ -81,7 +84,7 @@
   }
 
   /** Runs the system's own statements; false where one did not succeed. */
-  *prepare(
+  *runPrelude(
     statements: readonly TargetStatement[],
     timeMs: number,
   ): Task<boolean> {
@@ -89,7 +92,7 @@
     const calls = statements.map(statement => {
       return {requestId: undefined, statement};
     });
-    const replies = yield* this.ask(calls, timeMs);
+    const replies = yield* this.send(calls, timeMs);
     return replies.every(isDone);
   }
 
@@ -98,20 +101,27 @@
    * a lease that ran out for a time at most. Asked once an answer has come:
    * then it held while the answer was made, whatever froze in between.
    */
-  *confirmLead(timeMs: number, answer: TurnReply | undefined): Task<boolean> {
+  *confirmPrimary(
+    timeMs: number,
+    answer: MemberReply | undefined,
+  ): Task<boolean> {
     const {leases} = this.around;
     const {service} = this.place;
     const {epoch} = this.grant;
     if (leases.isHeld(service, epoch)) return true;
     const at = answer?.kind === 'answer' ? answer.position : undefined;
     const done = yield* settled(
-      leases.confirm(service, epoch, timeMs, at?.term),
+      leases.waitUntilHeld(service, epoch, timeMs, at?.term),
     );
     return 'value' in done && done.value;
   }
 
   /** Tells the dispatcher what an answer said of the member. */
-  observe(askedAt: number, reply: TurnReply, kind?: Observation['kind']): void {
+  reportObservation(
+    askedAt: number,
+    reply: MemberReply,
+    kind?: MemberObservation['kind'],
+  ): void {
     const answeredAt = this.around.clock.now();
     const position = reply.kind === 'answer' ? reply.position : undefined;
     this.dispatcher.post({
@@ -128,27 +138,27 @@
   }
 
   /** Gives the connection back; one that is not clean is closed. */
-  end(clean: boolean): void {
+  release(clean: boolean): void {
     if (this.returned) return;
     this.returned = true;
     // What did not end cleanly says nothing of how long such work takes.
     if (clean && this.workMs > 0) this.place.onDidWork(this.workMs);
     const {pooled} = this.grant;
-    this.dispatcher.post({kind: 'return', returned: {pooled, clean}});
+    this.dispatcher.post({kind: 'return', returned: {pooled, isClean: clean}});
   }
 }
 
 /** Whether a member ran a statement with success. */
-export function isDone(reply: TurnReply | undefined): boolean {
+export function isDone(reply: MemberReply | undefined): boolean {
   return reply?.kind === 'answer' && reply.result.kind === 'done';
 }
 
 /** Whether a connection is outside a transaction after an answer. */
-export function isOutside(reply: TurnReply | undefined): boolean {
+export function isOutsideTransaction(reply: MemberReply | undefined): boolean {
   return reply?.kind === 'answer' && reply.state === 'idle';
 }
 
-function observedIn(reply: TurnReply): Observation['kind'] {
+function observedIn(reply: MemberReply): MemberObservation['kind'] {
   if (reply.kind === 'lost') return 'silent';
   const {result} = reply;
   if (result.kind === 'done') return 'answered';
--- a/src/services/gateway/node/gateway.ts
+++ b/src/services/gateway/node/gateway.ts
@@ -13,19 +13,19 @@
 import type {CatalogLease} from '../../account/common/catalog_lease';
 import type {OperationLimits} from '../../account/node/operation_limits';
 import {CatalogIndex} from '../../catalog/common/catalog';
-import type {ConnectionSharers} from '../../dispatch/common/connection_share';
-import type {PlaceWait} from '../../dispatch/common/place_request';
+import type {ConnectionPeers} from '../../dispatch/common/connection_share';
+import type {CheckoutWait} from '../../dispatch/common/checkout_request';
 import type {DispatcherMessage} from '../../dispatch/node/dispatcher_messages';
 import {ServiceDispatcher} from '../../dispatch/node/service_dispatcher';
 import {EntriesByService} from '../../fleet_link/common/entries_by_service';
 import {
-  MEMBERS,
-  POOLERS,
+  MEMBER_COMPARER,
+  POOLER_COMPARER,
   type FleetMembers,
   type FleetPoolers,
 } from '../../fleet_link/common/fleet_lists';
-import type {LeadProofs} from '../../lease/common/lead_leases';
-import type {ConnectionRoom} from '../../room/common/connection_room';
+import type {LeaseChecks} from '../../lease/common/primary_leases';
+import type {ConnectionQuota} from '../../connection_quota/common/connection_quota';
 import type {StatusReader} from '../../target_link/common/member_status';
 import {
   SHARED_USER,
@@ -33,29 +33,29 @@
 } from '../../target_link/common/target_link';
 import type {CallerReply} from '../../statement/common/statement';
 import type {CallerChannel} from '../common/caller_channel';
-import type {AccessDenial, Admission} from '../common/session_access';
-import {SessionMemory} from '../common/session_memory';
-import {CatalogAccess} from './catalog_access';
-import {CountedRunner} from './counted_work';
+import type {AccessDenial, CallerAccess} from '../common/caller_access';
+import {GatewaySessionState} from '../common/gateway_session_state';
+import {CatalogAuthorizer} from './catalog_authorizer';
+import {RateLimitedRunner} from './rate_limited_runner';
 import type {GatewayMeter} from './gateway_meter';
 import {GatewaySession} from './gateway_session';
-import {RequestJournal} from './request_journal';
+import {RequestTelemetry} from './request_telemetry';
 import type {SessionContext} from './session_context';
-import {WitnessedLeads} from './witnessed_leads';
-import {LOCAL_RUNNER, type WorkRunner} from './work_runner';
+import {MemberVerifiedLeases} from './member_verified_leases';
+import {LOCAL_RUNNER, type StatementRunner} from './statement_runner';
 
 /** What a gateway is built on. */
-export interface GatewaySurroundings {
+export interface GatewayDependencies {
   readonly region: string;
   regionOf(site: string): string;
   readonly connector: TargetConnector;
-  readonly leases: LeadProofs;
+  readonly leases: LeaseChecks;
   /** For how long control's word on keys is good. */
   readonly catalogLease: CatalogLease;
   /** How much accounts may ask of all instances together. */
   readonly limits: OperationLimits;
   /** What control hands out of the members' connections. */
-  readonly room: ConnectionRoom;
+  readonly connectionQuota: ConnectionQuota;
   readonly statusReader: StatusReader;
   readonly clock: Clock;
   readonly log: Log;
@@ -63,8 +63,8 @@
   /** The name of this instance among the poolers. */
   readonly instance: string;
   /** Runs work of services whose connections other proxies keep. */
-  readonly pooledRunner: WorkRunner;
-  onDidJudgePrimary(report: PrimaryReport): void;
+  readonly pooledRunner: StatementRunner;
+  onDidAssessPrimary(report: PrimaryReport): void;
 }
 
 /** Who the work of a session is for. */
@@ -76,31 +76,31 @@
 /** The part of a proxy that serves callers by the catalog in force. */
 export class Gateway {
   private index: CatalogIndex | undefined;
-  private readonly members = new EntriesByService(MEMBERS);
+  private readonly members = new EntriesByService(MEMBER_COMPARER);
   private siteOf: ReadonlyMap<string, string> = new Map();
   private proxies = 1;
-  private readonly poolers = new EntriesByService(POOLERS);
+  private readonly poolers = new EntriesByService(POOLER_COMPARER);
   private readonly leads = new Map<string, PrimaryAssignment>();
   private definitions = new Map<string, ServiceEntry>();
   private readonly dispatchers = new Map<string, ServiceDispatcher>();
   private readonly sessions = new Set<GatewaySession>();
-  private readonly journal: RequestJournal;
+  private readonly journal: RequestTelemetry;
   private readonly classes: ClassAdmission;
-  private readonly proofs: LeadProofs;
-  private readonly access: CatalogAccess;
+  private readonly proofs: LeaseChecks;
+  private readonly access: CatalogAuthorizer;
   private waitingToKnow: (() => void)[] = [];
   private informedOnce = false;
   private stopping = false;
   private draining = false;
 
   constructor(
-    private readonly around: GatewaySurroundings,
+    private readonly around: GatewayDependencies,
     private readonly signal: AbortSignal,
   ) {
-    this.journal = new RequestJournal(around.log, around.meter);
+    this.journal = new RequestTelemetry(around.log, around.meter);
     this.classes = new ClassAdmission(around.clock);
-    this.access = new CatalogAccess(() => this.index, around.catalogLease);
-    this.proofs = new WitnessedLeads(around.leases, service => {
+    this.access = new CatalogAuthorizer(() => this.index, around.catalogLease);
+    this.proofs = new MemberVerifiedLeases(around.leases, service => {
       return this.dispatcherOf(service);
     });
   }
@@ -111,11 +111,11 @@
 
   /** Whether it knows what to serve, and with whom. */
   get isReady(): boolean {
-    return !this.stopping && this.isInformed && this.siteOf.size > 0;
+    return !this.stopping && this.hasUsableCatalog && this.siteOf.size > 0;
   }
 
   /** Whether it can tell callers what they may do. */
-  get isInformed(): boolean {
+  get hasUsableCatalog(): boolean {
     if (this.index === undefined) return false;
     return this.index.accounts.isEmpty || this.around.catalogLease.isHeld;
   }
@@ -125,7 +125,7 @@
   }
 
   /** Calls back once it is informed; the result takes the call back. */
-  onceInformed(listener: () => void): () => void {
+  onceCatalogUsable(listener: () => void): () => void {
     this.waitingToKnow.push(listener);
     return () => {
       this.waitingToKnow = this.waitingToKnow.filter(other => {
@@ -160,26 +160,26 @@
   }
 
   /** Takes note that control confirmed the catalog in force. */
-  onDidConfirmCatalog(): void {
+  notifyCatalogConfirmed(): void {
     this.greetWaiting();
   }
 
   /** Whether it could tell callers once; from then on it refuses at once. */
-  get wasInformed(): boolean {
+  get hadUsableCatalog(): boolean {
     return this.informedOnce;
   }
 
   private greetWaiting(): void {
-    if (!this.isInformed) return;
+    if (!this.hasUsableCatalog) return;
     this.informedOnce = true;
     for (const listener of this.waitingToKnow.splice(0)) listener();
   }
 
-  setMembers({members, proxies}: FleetMembers): void {
-    const changed = this.members.take(members);
+  setMembers({members, proxyCount}: FleetMembers): void {
+    const changed = this.members.update(members);
     this.siteOf = new Map(members.map(({instance, site}) => [instance, site]));
-    const isCounted = proxies > 0 && proxies !== this.proxies;
-    if (isCounted) this.proxies = proxies;
+    const isCounted = proxyCount > 0 && proxyCount !== this.proxies;
+    if (isCounted) this.proxies = proxyCount;
     // The number of proxies matters where no poolers keep the connections.
     this.tellMembers(service => {
       return changed.has(service) || (isCounted && !this.isPooled(service));
@@ -187,16 +187,16 @@
   }
 
   /** Takes changes of who leads which service. */
-  setLeads(leads: readonly PrimaryAssignment[]): void {
+  setPrimaryAssignments(leads: readonly PrimaryAssignment[]): void {
     for (const lead of leads) {
       this.leads.set(lead.service, lead);
-      this.dispatchers.get(lead.service)?.post({kind: 'lead', lead});
+      this.dispatchers.get(lead.service)?.post({kind: 'primary', lead});
     }
   }
 
   /** Takes the list of proxies that keep connections for others. */
   setPoolers({poolers}: FleetPoolers): void {
-    const changed = this.poolers.take(poolers);
+    const changed = this.poolers.update(poolers);
     for (const service of changed) {
       if (this.isPoolerOf(service)) this.dispatcherOf(service);
     }
@@ -209,42 +209,45 @@
   }
 
   /** How long new work of a service would wait here, where it is by class. */
-  waitsOf(service: string): PlaceWait[] {
-    if (!this.classes.isOn(service)) return [];
-    return this.dispatchers.get(service)?.waits ?? [];
+  queueWaitsOf(service: string): CheckoutWait[] {
+    if (!this.classes.isEnabled(service)) return [];
+    return this.dispatchers.get(service)?.expectedWaits ?? [];
   }
 
   /** What the work of one session needs, for work of other proxies too. */
-  makeContext(
+  makeSessionContext(
     {caller, user}: SessionIdentity,
-    memory: SessionMemory,
+    memory: GatewaySessionState,
     route: () => DatabaseRoute | undefined,
     signal: AbortSignal,
     greetingMs = () => 0,
     gone = signal,
   ): SessionContext {
     return {
-      greetingMs,
+      startupWaitMs: greetingMs,
       caller,
       user,
-      memory,
+      sessionState: memory,
       clock: this.around.clock,
       leases: this.proofs,
       limits: this.around.limits,
-      journal: this.journal,
+      telemetry: this.journal,
       classes: this.classes,
       signal,
-      gone,
+      callerGone: gone,
       route,
       dispatcherOf: service => this.dispatcherOf(service),
-      runnerOf: service => new CountedRunner(this.runnerOf(service, user)),
+      runnerOf: service => new RateLimitedRunner(this.runnerOf(service, user)),
     };
   }
 
   /** Finds out who a caller of a database is. */
-  admit(database: string, credential: string): Result<Admission, AccessDenial> {
+  admit(
+    database: string,
+    credential: string,
+  ): Result<CallerAccess, AccessDenial> {
     return this.access.admit(database, credential).mapErr(denial => {
-      this.journal.onDenied(database, denial);
+      this.journal.recordRejectedSession(database, denial);
       return denial;
     });
   }
@@ -256,15 +259,15 @@
    */
   openSession(
     database: string,
-    admission: Admission,
+    admission: CallerAccess,
     channel: CallerChannel,
     signal: AbortSignal,
     greetingMs = 0,
   ): GatewaySession {
     let isAnswered = false;
-    const context = this.makeContext(
+    const context = this.makeSessionContext(
       admission,
-      new SessionMemory(),
+      new GatewaySessionState(),
       () => this.index?.route(database),
       signal,
       () => (isAnswered ? 0 : greetingMs),
@@ -293,12 +296,12 @@
   }
 
   /** Ends open transactions too. */
-  cut(): void {
+  abortTransactions(): void {
     for (const session of this.sessions) session.post({kind: 'cut'});
   }
 
   /** Says that it takes no more traffic, while sessions go on. */
-  announceStop(): void {
+  markNotReady(): void {
     this.stopping = true;
   }
 
@@ -309,8 +312,8 @@
     const dispatcher = new ServiceDispatcher({
       ...around,
       service,
-      onDidJudgePrimary: (instance, trouble) => {
-        around.onDidJudgePrimary({service, instance, trouble});
+      onDidAssessPrimary: (instance, trouble) => {
+        around.onDidAssessPrimary({service, instance, trouble});
       },
     });
     void dispatcher.start(this.signal);
@@ -319,17 +322,17 @@
     if (definition) dispatcher.post(this.definitionOf(definition));
     this.tellMembersTo(dispatcher, service);
     const lead = this.leads.get(service);
-    if (lead) dispatcher.post({kind: 'lead', lead});
+    if (lead) dispatcher.post({kind: 'primary', lead});
     return dispatcher;
   }
 
   private definitionOf(definition: ServiceEntry): DispatcherMessage {
-    const isByClass = this.classes.isOn(definition.service);
+    const isByClass = this.classes.isEnabled(definition.service);
     return {kind: 'definition', definition, isByClass};
   }
 
   /** Work of an account may be another pooler's, even where this is one. */
-  private runnerOf(service: string, user: MemberUser): WorkRunner {
+  private runnerOf(service: string, user: MemberUser): StatementRunner {
     if (!this.isPooled(service)) return LOCAL_RUNNER;
     const isOwn = user === SHARED_USER && this.isPoolerOf(service);
     return isOwn ? LOCAL_RUNNER : this.around.pooledRunner;
@@ -337,11 +340,11 @@
 
   /** Whether some proxies keep the connections of a service for all. */
   private isPooled(service: string): boolean {
-    return this.poolers.of(service).length > 0;
+    return this.poolers.get(service).length > 0;
   }
 
   private isPoolerOf(service: string): boolean {
-    const poolers = this.poolers.of(service);
+    const poolers = this.poolers.get(service);
     return poolers.some(({instance}) => instance === this.around.instance);
   }
 
@@ -350,15 +353,23 @@
   }
 
   /** Instances that share the connections of a service with this one. */
-  private sharersOf(service: string): ConnectionSharers {
-    const poolers = this.poolers.of(service);
+  private sharersOf(service: string): ConnectionPeers {
+    const poolers = this.poolers.get(service);
     if (!this.isPoolerOf(service)) {
       const elsewhere = this.isPooled(service);
-      return {all: this.proxies, near: 0, elsewhere};
+      return {
+        instanceCount: this.proxies,
+        sameRegionCount: 0,
+        isPooledElsewhere: elsewhere,
+      };
     }
     const {region, regionOf} = this.around;
     const near = poolers.filter(({site}) => regionOf(site) === region);
-    return {all: poolers.length, near: near.length, elsewhere: false};
+    return {
+      instanceCount: poolers.length,
+      sameRegionCount: near.length,
+      isPooledElsewhere: false,
+    };
   }
 
   /** The region of the primary of a service; undefined where none is known. */
@@ -375,7 +386,7 @@
   }
 
   private tellMembersTo(dispatcher: ServiceDispatcher, service: string): void {
-    const members = this.members.of(service);
+    const members = this.members.get(service);
     const sharers = this.sharersOf(service);
     dispatcher.post({kind: 'members', members, sharers});
   }
--- a/src/services/gateway/node/gateway_meter.ts
+++ b/src/services/gateway/node/gateway_meter.ts
@@ -32,7 +32,11 @@
   private readonly places = new Map<string, number>();
 
   /** Notes the time that a part of a request took, in milliseconds. */
-  record(route: string, phase: GatewayPhase, milliseconds: number): void {
+  recordLatency(
+    route: string,
+    phase: GatewayPhase,
+    milliseconds: number,
+  ): void {
     const micros = Math.round(milliseconds * 1_000);
     const value = Math.min(Math.max(0, micros), MOST_MICROSECONDS);
     this.histogram(this.seriesOf(route), phase).recordValue(value);
@@ -55,12 +59,12 @@
   }
 
   /** Counts requests of a class in and out that wait for places. */
-  addWaiting(service: string, priority: number, change: number): void {
+  addQueued(service: string, priority: number, change: number): void {
     increase(this.waiting, this.classOf(service, priority), change);
   }
 
   /** Counts what became of requests of a class that asked for a place. */
-  countPlace(
+  countCheckout(
     service: string,
     priority: number,
     outcome: 'served' | 'refused',
--- a/src/services/gateway/node/gateway_session.ts
+++ b/src/services/gateway/node/gateway_session.ts
@@ -2,17 +2,17 @@
 import {Mailbox, startTask, type Task} from '../../../base/node/task';
 import type {DatabaseRoute} from '../../../schema/generated/fleet';
 import {
-  DONE_HERE,
+  DONE_LOCALLY,
   failure,
   type Statement,
   type StatementResult,
 } from '../../statement/common/statement';
 import type {CallerChannel, CallerRequest} from '../common/caller_channel';
-import type {AccessDenial, Admission} from '../common/session_access';
-import {BEGUN, type TransactionStep} from './open_transaction';
+import type {AccessDenial, CallerAccess} from '../common/caller_access';
+import {BEGIN_OUTCOME, type StatementOutcome} from './local_transaction';
 import type {SessionContext} from './session_context';
-import type {WorkStatement} from './statement_on_link';
-import type {WorkTransaction} from './work_runner';
+import type {MemberStatement} from './statement_preparation';
+import type {SessionTransaction} from './statement_runner';
 
 /** What a session is told. */
 export type SessionMessage =
@@ -22,7 +22,7 @@
       readonly receivedAt: number;
     }
   /** The transaction rested too long. */
-  | {readonly kind: 'rested'; readonly transaction: WorkTransaction}
+  | {readonly kind: 'rested'; readonly transaction: SessionTransaction}
   /** What its caller may do may have changed. */
   | {readonly kind: 'check'}
   /** End as soon as nothing of the session is under way. */
@@ -42,14 +42,14 @@
 /** The task of one caller's session. */
 export class GatewaySession {
   private readonly mailbox = new Mailbox<SessionMessage>(MOST_AHEAD);
-  private transaction: WorkTransaction | undefined;
+  private transaction: SessionTransaction | undefined;
   private cancelRest = () => {};
   private draining = false;
   private hasServed = false;
 
   constructor(
     private readonly context: SessionContext,
-    private readonly admission: Pick<Admission, 'database' | 'denial'>,
+    private readonly admission: Pick<CallerAccess, 'database' | 'denial'>,
     private readonly channel: CallerChannel,
     private readonly restLimitMs: () => number,
   ) {}
@@ -84,7 +84,7 @@
     }
     this.cancelRest();
     // The caller left: what it did not commit is not kept.
-    this.transaction?.giveUp('the caller left');
+    this.transaction?.abort('the caller left');
   }
 
   private *handle(message: SessionMessage): Task<void> {
@@ -93,7 +93,7 @@
         return yield* this.onRequest(message.request, message.receivedAt);
       case 'rested':
         if (message.transaction !== this.transaction) return;
-        return this.transaction.giveUp('it rested too long');
+        return this.transaction.abort('it rested too long');
       case 'check':
         return this.checkAccess();
       case 'drain':
@@ -102,7 +102,7 @@
       case 'cut':
         this.draining = true;
         this.hasServed = true;
-        this.transaction?.giveUp('this instance stops');
+        this.transaction?.abort('this instance stops');
         return;
     }
   }
@@ -116,15 +116,15 @@
     const {result, state} =
       denied ?? (yield* this.stepOf(requestId, statement, since));
     if (state !== 'idle') this.watchRest();
-    const position = this.context.memory.own?.position;
+    const position = this.context.sessionState.lastCommit?.position;
     // What follows a prepared statement or a value is on its way already.
     this.hasServed ||= result.kind === 'error' || result.signature !== '';
     this.channel.answer({result, state, position});
     const route = this.context.route();
     if (!route) return;
     const tookMs = this.context.clock.now() - since;
-    const {user, journal} = this.context;
-    journal.onAnswered(user, route, result, tookMs);
+    const {user, telemetry} = this.context;
+    telemetry.recordAnswer(user, route, result, tookMs);
   }
 
   /**
@@ -132,10 +132,14 @@
    * handled, after whatever it waited for: a key that was withdrawn meanwhile
    * no longer counts.
    */
-  private deny(requestId: string): TransactionStep | undefined {
+  private deny(requestId: string): StatementOutcome | undefined {
     const denial = this.admission.denial();
     if (!denial) return undefined;
-    this.context.journal.onForbidden(requestId, this.context.caller, denial);
+    this.context.telemetry.recordUnauthorized(
+      requestId,
+      this.context.caller,
+      denial,
+    );
     const wasOpen = this.endForbidden(denial);
     // Only what this instance cannot confirm may be allowed again here.
     if (denial !== 'unconfirmed') this.endAtRest();
@@ -147,7 +151,7 @@
   /** Undoes the transaction of a caller that may not go on with it. */
   private endForbidden(denial: AccessDenial): boolean {
     const {transaction} = this;
-    transaction?.giveUp(denial);
+    transaction?.abort(denial);
     this.transaction = undefined;
     return transaction !== undefined;
   }
@@ -157,7 +161,7 @@
     const denial = this.admission.denial();
     if (!denial || denial === 'unconfirmed') return;
     // The caller hears why with its next statement.
-    if (this.transaction) return this.transaction.giveUp(denial);
+    if (this.transaction) return this.transaction.abort(denial);
     this.endAtRest();
   }
 
@@ -170,7 +174,7 @@
     requestId: string,
     statement: Statement | undefined,
     since: number,
-  ): Task<TransactionStep> {
+  ): Task<StatementOutcome> {
     if (!statement) return this.here(failure('bad message', 'no statement'));
     const {transaction} = this;
     if (transaction) {
@@ -184,8 +188,8 @@
       case 'begin':
         this.transaction = this.context
           .runnerOf(route.service)
-          .begin(this.context, route, statement.readOnly, since);
-        return BEGUN;
+          .beginTransaction(this.context, route, statement.readOnly, since);
+        return BEGIN_OUTCOME;
       case 'commit':
       case 'rollback':
         return this.here(failure('bad message', 'no transaction is open'));
@@ -204,19 +208,19 @@
   ): Task<StatementResult> {
     const local = this.runHere(statement);
     if (local) return local;
-    const work = statement as WorkStatement;
+    const work = statement as MemberStatement;
     const isWrite = this.isWrite(work);
     if (isWrite === undefined) return unknownName(work);
     const request = {requestId, statement: work, isWrite, route, since};
     const runner = this.context.runnerOf(route.service);
-    return yield* runner.runSingle(this.context, request);
+    return yield* runner.runStatement(this.context, request);
   }
 
   private *inTransaction(
-    transaction: WorkTransaction,
+    transaction: SessionTransaction,
     requestId: string,
     statement: Statement,
-  ): Task<TransactionStep> {
+  ): Task<StatementOutcome> {
     switch (statement.kind) {
       case 'begin':
         return {
@@ -231,11 +235,11 @@
       case 'rollback':
         yield* transaction.rollback();
         this.transaction = undefined;
-        return {result: DONE_HERE, state: 'idle'};
+        return {result: DONE_LOCALLY, state: 'idle'};
       default: {
         const local = this.runHere(statement);
         if (local) return {result: local, state: transaction.state};
-        const work = statement as WorkStatement;
+        const work = statement as MemberStatement;
         const isWrite = this.isWrite(work);
         if (isWrite === undefined) {
           return {result: unknownName(work), state: transaction.state};
@@ -247,34 +251,34 @@
 
   /** Statements that need no member; undefined for the others. */
   private runHere(statement: Statement): StatementResult | undefined {
-    const {memory} = this.context;
+    const {sessionState} = this.context;
     switch (statement.kind) {
       case 'set':
-        return memory.setValue(statement.name, statement.value)
-          ? DONE_HERE
+        return sessionState.setValue(statement.name, statement.value)
+          ? DONE_LOCALLY
           : failure('busy', 'too many values');
       case 'prepare': {
         const {name, action, shape} = statement;
-        return memory.prepare(name, {action, shape})
-          ? DONE_HERE
+        return sessionState.prepare(name, {action, shape})
+          ? DONE_LOCALLY
           : failure('busy', 'too many prepared statements');
       }
       case 'deallocate':
-        return memory.deallocate(statement.name)
-          ? DONE_HERE
+        return sessionState.deallocate(statement.name)
+          ? DONE_LOCALLY
           : failure('unknown name', `no statement ${statement.name}`);
       default:
         return undefined;
     }
   }
 
-  private isWrite(statement: WorkStatement): boolean | undefined {
+  private isWrite(statement: MemberStatement): boolean | undefined {
     if (statement.kind !== 'execute') return statement.kind === 'write';
-    const known = this.context.memory.lookUp(statement.name);
+    const known = this.context.sessionState.findPrepared(statement.name);
     return known && known.action === 'write';
   }
 
-  private here(result: StatementResult): TransactionStep {
+  private here(result: StatementResult): StatementOutcome {
     return {result, state: this.transaction ? 'open' : 'idle'};
   }
 
--- a/src/services/gateway/node/open_transaction.ts
+++ b/src/services/gateway/node/local_transaction.ts
@@ -1,29 +1,29 @@
 import {pause, type Task} from '../../../base/node/task';
 import {Consistency, type DatabaseRoute} from '../../../schema/generated/fleet';
 import {
-  DONE_HERE,
+  DONE_LOCALLY,
   failure,
-  saysNotRun,
+  didNotRun,
   type StatementResult,
   type TargetStatement,
   type TransactionState,
 } from '../../statement/common/statement';
 import {
   isDone,
-  isOutside,
-  type MemberTurn,
-  type TurnReply,
-} from './member_turn';
-import {makeReady, type WorkStatement} from './statement_on_link';
+  isOutsideTransaction,
+  type CheckedOutConnection,
+  type MemberReply,
+} from './checked_out_connection';
+import {prepareConnection, type MemberStatement} from './statement_preparation';
 import {
-  mayRepeat,
+  canRetry,
   refusalResult,
-  takeTurn,
+  checkOutConnection,
   type SessionContext,
 } from './session_context';
 
 /** How a statement of a transaction ended, and the state after it. */
-export interface TransactionStep {
+export interface StatementOutcome {
   readonly result: StatementResult;
   readonly state: TransactionState;
 }
@@ -36,8 +36,8 @@
  * One transaction of a session. It takes a connection with its first
  * statement, not with its begin, and keeps it to its end.
  */
-export class OpenTransaction {
-  private turn: MemberTurn | undefined;
+export class LocalTransaction {
+  private turn: CheckedOutConnection | undefined;
   private failed = false;
   /** Something was written: its commit proves that the member led. */
   private wrote = false;
@@ -59,14 +59,14 @@
   }
 
   /** Undoes everything; the session's next statements fail. */
-  giveUp(reason: string): void {
+  abort(reason: string): void {
     if (this.failed) return;
     this.failed = true;
     // Closing the connection rolls back, also where it no longer answers.
-    this.turn?.end(false);
+    this.turn?.release(false);
     this.turn = undefined;
     const attempt = {instance: '', tookMs: 0, detail: reason};
-    this.context.journal.onFailed('-', this.route.service, attempt);
+    this.context.telemetry.recordFailure('-', this.route.service, attempt);
   }
 
   /** Ends without a commit. */
@@ -75,16 +75,16 @@
     this.turn = undefined;
     if (!turn) return;
     const call = {requestId: undefined, statement: ROLLBACK};
-    const [reply] = yield* turn.ask([call], BEGIN_MS);
-    turn.end(isOutside(reply));
+    const [reply] = yield* turn.send([call], BEGIN_MS);
+    turn.release(isOutsideTransaction(reply));
   }
 
   *run(
     requestId: string,
-    statement: WorkStatement,
+    statement: MemberStatement,
     isWrite: boolean,
-  ): Task<TransactionStep> {
-    if (this.failed) return FAILED_STEP;
+  ): Task<StatementOutcome> {
+    if (this.failed) return ABORTED_OUTCOME;
     const deadline = this.context.clock.now() + this.route.statementMs;
     const refused = yield* this.begin(requestId, deadline);
     if (refused) return this.fail(refused);
@@ -97,8 +97,8 @@
     );
   }
 
-  *commit(requestId: string): Task<TransactionStep> {
-    if (this.failed) return {...FAILED_STEP, state: 'idle'};
+  *commit(requestId: string): Task<StatementOutcome> {
+    if (this.failed) return {...ABORTED_OUTCOME, state: 'idle'};
     const deadline = this.context.clock.now() + this.route.statementMs;
     const refused = yield* this.begin(requestId, deadline);
     if (refused) return {result: refused, state: 'idle'};
@@ -120,14 +120,14 @@
     const wish = {...terms, requestId, passed};
     let waitedMs = 0;
     for (let tries = 1; ; tries++) {
-      const taken = yield* takeTurn(context, {...wish, waitedMs});
+      const taken = yield* checkOutConnection(context, {...wish, waitedMs});
       if (taken.isErr) return refusalResult(taken.error);
       const turn = taken.value;
       waitedMs += turn.waitedMs;
       const trouble = yield* this.beginOn(turn, deadline);
       // Guard: given up while it began, it would hold its connection for good.
       if (this.failed) {
-        turn.end(false);
+        turn.release(false);
         return GIVEN_UP;
       }
       if (!trouble) {
@@ -137,9 +137,9 @@
       passed.add(turn.instance);
       const now = context.clock.now();
       const attempt = {instance: turn.instance, tookMs: 0, detail: trouble};
-      context.journal.onRepeated(requestId, route.service, attempt);
+      context.telemetry.recordRetry(requestId, route.service, attempt);
       const isLast = tries >= MOST_TRIES || now >= deadline;
-      if (isLast || !mayRepeat(context, requestId, route.service, trouble)) {
+      if (isLast || !canRetry(context, requestId, route.service, trouble)) {
         return failure('busy', `${trouble}, retry after 100 ms`);
       }
       yield* pause(BUSY_PAUSE_MS);
@@ -148,51 +148,55 @@
 
   /** Begins on a connection; why it could not, and undefined if it could. */
   private *beginOn(
-    turn: MemberTurn,
+    turn: CheckedOutConnection,
     deadline: number,
   ): Task<string | undefined> {
     const {context, readOnly, needsPrimary} = this;
-    const prelude = context.memory.valuesFor(turn.grant.pooled);
-    if (!(yield* turn.prepare(prelude, BEGIN_MS))) {
-      turn.end(false);
+    const prelude = context.sessionState.statementsToRestore(turn.grant.pooled);
+    if (!(yield* turn.runPrelude(prelude, BEGIN_MS))) {
+      turn.release(false);
       return 'own statements failed';
     }
     const askedAt = context.clock.now();
-    const {after} = turn.grant;
+    const {minPosition} = turn.grant;
     // A plain transaction is one that a member without the lead refuses, so
     // it serves where every commit must be seen.
-    const plain = needsPrimary || !after;
+    const plain = needsPrimary || !minPosition;
     const statement: TargetStatement = {
       kind: 'begin',
       readOnly: readOnly && !plain,
     };
     const timeMs = Math.min(BEGIN_MS, deadline - askedAt);
-    const call = {requestId: undefined, statement, ...(after && {after})};
-    const [reply] = yield* turn.ask([call], timeMs);
+    const call = {
+      requestId: undefined,
+      statement,
+      ...(minPosition && {minPosition}),
+    };
+    const [reply] = yield* turn.send([call], timeMs);
     const leads = isDone(reply) && plain;
-    turn.observe(askedAt, reply!, leads ? 'leads' : undefined);
+    turn.reportObservation(askedAt, reply!, leads ? 'leads' : undefined);
     if (isDone(reply)) {
       const left = deadline - context.clock.now();
-      if (!plain || (yield* turn.confirmLead(left, reply))) {
+      if (!plain || (yield* turn.confirmPrimary(left, reply))) {
         return undefined;
       }
-      turn.end(false);
+      turn.release(false);
       return 'the lead is not proved';
     }
-    turn.end(isOutside(reply));
+    turn.release(isOutsideTransaction(reply));
     if (reply?.kind !== 'answer') return `lost: ${reply?.reason}`;
     return reply.result.kind === 'error' ? reply.result.failure : 'no begin';
   }
 
   private *runOn(
-    turn: MemberTurn,
+    turn: CheckedOutConnection,
     requestId: string,
-    asked: WorkStatement,
+    asked: MemberStatement,
     isWrite: boolean,
     deadline: number,
-  ): Task<TransactionStep> {
+  ): Task<StatementOutcome> {
     const {clock} = this.context;
-    const ready = yield* makeReady(this.context, turn, asked);
+    const ready = yield* prepareConnection(this.context, turn, asked);
     if (ready.kind === 'unknown name') {
       return {result: failure('unknown name', 'not prepared'), state: 'open'};
     }
@@ -202,11 +206,11 @@
     const {statement} = ready;
     for (;;) {
       const askedAt = clock.now();
-      const [reply] = yield* turn.ask(
+      const [reply] = yield* turn.send(
         [{requestId, statement}],
         deadline - askedAt,
       );
-      turn.observe(askedAt, reply!);
+      turn.reportObservation(askedAt, reply!);
       if (isBusy(reply) && clock.now() + BUSY_PAUSE_MS < deadline) {
         yield* pause(BUSY_PAUSE_MS);
         continue;
@@ -215,7 +219,7 @@
     }
   }
 
-  private stepOf(reply: TurnReply, isWrite: boolean): TransactionStep {
+  private stepOf(reply: MemberReply, isWrite: boolean): StatementOutcome {
     if (reply.kind === 'lost') {
       // Nothing was committed, and the close of the connection rolls back.
       return this.fail(failure('aborted', 'the member was lost'));
@@ -234,60 +238,67 @@
   }
 
   private *commitOn(
-    turn: MemberTurn,
+    turn: CheckedOutConnection,
     requestId: string,
     deadline: number,
   ): Task<StatementResult> {
     const {context} = this;
-    const {clock, memory} = context;
+    const {clock, sessionState} = context;
     for (;;) {
       const askedAt = clock.now();
       const call = {requestId, statement: COMMIT};
-      const [reply] = yield* turn.ask([call], deadline - askedAt);
+      const [reply] = yield* turn.send([call], deadline - askedAt);
       if (isBusy(reply) && clock.now() + BUSY_PAUSE_MS < deadline) {
         yield* pause(BUSY_PAUSE_MS);
         continue;
       }
       const leads = isDone(reply) && this.wrote;
-      turn.observe(askedAt, reply!, leads ? 'leads' : undefined);
-      turn.end(isOutside(reply));
+      turn.reportObservation(askedAt, reply!, leads ? 'leads' : undefined);
+      turn.release(isOutsideTransaction(reply));
       if (reply?.kind !== 'answer') {
         const attempt = {
           instance: turn.instance,
           tookMs: clock.now() - askedAt,
           detail: `no answer to a commit: ${reply?.reason}`,
         };
-        context.journal.onFailed(requestId, this.route.service, attempt);
+        context.telemetry.recordFailure(requestId, this.route.service, attempt);
         return failure('unknown outcome', 'the commit may have taken effect');
       }
       const {result, position} = reply;
       if (result.kind === 'done') {
         if (!this.wrote) return result;
         const left = deadline - clock.now();
-        if (!(yield* turn.confirmLead(left, reply))) {
+        if (!(yield* turn.confirmPrimary(left, reply))) {
           return this.unproven(requestId, turn);
         }
-        memory.onCommit(position, clock.now());
+        sessionState.recordCommit(position, clock.now());
         return result;
       }
       // The member says that the commit did not run, and the connection is
       // closed or outside the transaction: nothing is kept.
-      if (saysNotRun(result.failure)) return failure('aborted', result.failure);
+      if (didNotRun(result.failure)) return failure('aborted', result.failure);
       return result;
     }
   }
 
   /** The commit of a member that may have been replaced may be undone. */
-  private unproven(requestId: string, {instance}: MemberTurn): StatementResult {
+  private unproven(
+    requestId: string,
+    {instance}: CheckedOutConnection,
+  ): StatementResult {
     const detail = 'committed without a lease on the lead';
     const attempt = {instance, tookMs: 0, detail};
-    this.context.journal.onFailed(requestId, this.route.service, attempt);
+    this.context.telemetry.recordFailure(
+      requestId,
+      this.route.service,
+      attempt,
+    );
     return failure('unknown outcome', 'the commit may be kept');
   }
 
-  private fail(result: StatementResult): TransactionStep {
+  private fail(result: StatementResult): StatementOutcome {
     this.failed = true;
-    this.turn?.end(false);
+    this.turn?.release(false);
     this.turn = undefined;
     return {result, state: 'failed'};
   }
@@ -299,12 +310,12 @@
 const GIVEN_UP = failure('aborted', 'the transaction was given up');
 
 /** The answer to what follows once a transaction was given up. */
-export const FAILED_STEP: TransactionStep = {
+export const ABORTED_OUTCOME: StatementOutcome = {
   result: GIVEN_UP,
   state: 'failed',
 };
 
-function isBusy(reply: TurnReply | undefined): boolean {
+function isBusy(reply: MemberReply | undefined): boolean {
   return (
     reply?.kind === 'answer' &&
     reply.result.kind === 'error' &&
@@ -314,4 +325,7 @@
 }
 
 /** The answer to a begin: the system gives it itself. */
-export const BEGUN: TransactionStep = {result: DONE_HERE, state: 'open'};
+export const BEGIN_OUTCOME: StatementOutcome = {
+  result: DONE_LOCALLY,
+  state: 'open',
+};
--- a/src/services/gateway/node/witnessed_leads.ts
+++ b/src/services/gateway/node/member_verified_leases.ts
@@ -1,13 +1,13 @@
 import type {ServiceDispatcher} from '../../dispatch/node/service_dispatcher';
-import type {LeadProofs} from '../../lease/common/lead_leases';
+import type {LeaseChecks} from '../../lease/common/primary_leases';
 
 /**
  * Proof of leads by control's leases and, where these ran out, by the members
  * themselves; whichever comes first.
  */
-export class WitnessedLeads implements LeadProofs {
+export class MemberVerifiedLeases implements LeaseChecks {
   constructor(
-    private readonly leases: LeadProofs,
+    private readonly leases: LeaseChecks,
     private readonly dispatcherOf: (service: string) => ServiceDispatcher,
   ) {}
 
@@ -15,17 +15,17 @@
     return this.leases.isHeld(service, epoch);
   }
 
-  lapsedMs(service: string, epoch: number): number {
-    return this.leases.lapsedMs(service, epoch);
+  expiredForMs(service: string, epoch: number): number {
+    return this.leases.expiredForMs(service, epoch);
   }
 
-  async confirm(
+  async waitUntilHeld(
     service: string,
     epoch: number,
     timeMs: number,
     term?: number,
   ): Promise<boolean> {
-    const byControl = this.leases.confirm(service, epoch, timeMs);
+    const byControl = this.leases.waitUntilHeld(service, epoch, timeMs);
     if (term === undefined) return byControl;
     const byMembers = this.askMembers(service, epoch, timeMs, term);
     const first = await Promise.race([byControl, byMembers]);
@@ -40,8 +40,8 @@
     term: number,
   ): Promise<boolean> {
     return new Promise(resolve => {
-      const wish = {epoch, term, timeMs, settle: resolve};
-      const isTaken = this.dispatcherOf(service).post({kind: 'witness', wish});
+      const wish = {epoch, term, timeoutMs: timeMs, settle: resolve};
+      const isTaken = this.dispatcherOf(service).post({kind: 'verify', wish});
       if (!isTaken) resolve(false);
     });
   }
--- a/src/services/gateway/node/counted_work.ts
+++ b/src/services/gateway/node/rate_limited_runner.ts
@@ -1,65 +1,72 @@
 import type {Task} from '../../../base/node/task';
 import type {DatabaseRoute} from '../../../schema/generated/fleet';
 import {
-  saysNotRun,
+  didNotRun,
   type StatementResult,
 } from '../../statement/common/statement';
-import {FAILED_STEP, type TransactionStep} from './open_transaction';
+import {ABORTED_OUTCOME, type StatementOutcome} from './local_transaction';
 import {admitOperation, type SessionContext} from './session_context';
-import type {SingleRequest} from './single_statement';
-import type {WorkStatement} from './statement_on_link';
-import type {WorkRunner, WorkTransaction} from './work_runner';
+import type {StatementRequest} from './single_statement';
+import type {MemberStatement} from './statement_preparation';
+import type {StatementRunner, SessionTransaction} from './statement_runner';
 
 /**
  * Counts the operations of callers in before another runner gets them, once
  * each: at the proxy that they came to, and not again at a pooler.
  */
-export class CountedRunner implements WorkRunner {
-  constructor(private readonly runner: WorkRunner) {}
+export class RateLimitedRunner implements StatementRunner {
+  constructor(private readonly runner: StatementRunner) {}
 
-  *runSingle(
+  *runStatement(
     context: SessionContext,
-    request: SingleRequest,
+    request: StatementRequest,
   ): Task<StatementResult> {
     const {requestId, route, since} = request;
     const refused = yield* admitOperation(context, {requestId, route, since});
     if (refused) return refused;
-    const result = yield* this.runner.runSingle(context, request);
+    const result = yield* this.runner.runStatement(context, request);
     if (isNotRun(result)) context.limits.refund(context.user);
     return result;
   }
 
-  begin(
-    ...[context, route, readOnly, since]: Parameters<WorkRunner['begin']>
-  ): WorkTransaction {
-    const transaction = this.runner.begin(context, route, readOnly, since);
-    return new CountedTransaction(transaction, context, route);
+  beginTransaction(
+    ...[context, route, readOnly, since]: Parameters<
+      StatementRunner['beginTransaction']
+    >
+  ): SessionTransaction {
+    const transaction = this.runner.beginTransaction(
+      context,
+      route,
+      readOnly,
+      since,
+    );
+    return new RateLimitedTransaction(transaction, context, route);
   }
 }
 
 /** A transaction that counts as one operation, with its first statement. */
-class CountedTransaction implements WorkTransaction {
+class RateLimitedTransaction implements SessionTransaction {
   private isCounted = false;
   /** It was over the limit, and nothing of it goes to the runner. */
   private isRefused = false;
 
   constructor(
-    private readonly transaction: WorkTransaction,
+    private readonly transaction: SessionTransaction,
     private readonly context: SessionContext,
     private readonly route: DatabaseRoute,
   ) {}
 
-  get state(): WorkTransaction['state'] {
+  get state(): SessionTransaction['state'] {
     return this.isRefused ? 'failed' : this.transaction.state;
   }
 
   *run(
     requestId: string,
-    statement: WorkStatement,
+    statement: MemberStatement,
     isWrite: boolean,
-  ): Task<TransactionStep> {
+  ): Task<StatementOutcome> {
     const {transaction} = this;
-    if (this.isRefused) return FAILED_STEP;
+    if (this.isRefused) return ABORTED_OUTCOME;
     if (!this.mustCount) {
       return yield* transaction.run(requestId, statement, isWrite);
     }
@@ -70,9 +77,9 @@
     return this.checkFirst(step);
   }
 
-  *commit(requestId: string): Task<TransactionStep> {
+  *commit(requestId: string): Task<StatementOutcome> {
     const {transaction} = this;
-    if (this.isRefused) return {...FAILED_STEP, state: 'idle'};
+    if (this.isRefused) return {...ABORTED_OUTCOME, state: 'idle'};
     if (!this.mustCount) return yield* transaction.commit(requestId);
     const refused = yield* this.countIn(requestId);
     if (refused) return {result: refused, state: 'idle'};
@@ -83,8 +90,8 @@
     return this.transaction.rollback();
   }
 
-  giveUp(reason: string): void {
-    if (!this.isRefused) this.transaction.giveUp(reason);
+  abort(reason: string): void {
+    if (!this.isRefused) this.transaction.abort(reason);
   }
 
   /** One that was given up before its first statement runs nothing. */
@@ -100,7 +107,7 @@
   }
 
   /** Where nothing was begun the operation did not run. */
-  private checkFirst(step: TransactionStep): TransactionStep {
+  private checkFirst(step: StatementOutcome): StatementOutcome {
     const {context} = this;
     const isOpen = step.state === 'open';
     if (!isOpen && isNotRun(step.result)) context.limits.refund(context.user);
@@ -109,5 +116,5 @@
 }
 
 function isNotRun(result: StatementResult): boolean {
-  return result.kind === 'error' && saysNotRun(result.failure);
+  return result.kind === 'error' && didNotRun(result.failure);
 }
--- a/src/services/gateway/node/request_journal.ts
+++ b/src/services/gateway/node/request_telemetry.ts
@@ -1,12 +1,12 @@
 import type {Log} from '../../../base/node/log';
 import type {DatabaseRoute} from '../../../schema/generated/fleet';
-import type {PlaceRefusal} from '../../dispatch/common/place_request';
+import type {CheckoutRefusal} from '../../dispatch/common/checkout_request';
 import type {StatementResult} from '../../statement/common/statement';
-import type {AccessDenial} from '../common/session_access';
+import type {AccessDenial} from '../common/caller_access';
 import type {GatewayMeter} from './gateway_meter';
 
 /** Which request of which account. */
-export interface RequestName {
+export interface RequestIdentity {
   readonly request: string;
   readonly caller: string;
 }
@@ -22,38 +22,42 @@
  * Logs and counts what is decided about requests. Those that go well are only
  * counted; each line names the request, the inputs and the outcome.
  */
-export class RequestJournal {
+export class RequestTelemetry {
   constructor(
     private readonly log: Log,
     private readonly meter: GatewayMeter,
   ) {}
 
   /** A request begins to wait for a place. */
-  onWaiting({service, priority}: DatabaseRoute): void {
-    this.meter.addWaiting(service, priority, 1);
+  recordQueued({service, priority}: DatabaseRoute): void {
+    this.meter.addQueued(service, priority, 1);
   }
 
   /** A request waits no more; whether it has a place. */
-  onPlaced(route: DatabaseRoute, waitedMs: number, isServed: boolean): void {
+  recordDequeued(
+    route: DatabaseRoute,
+    waitedMs: number,
+    isServed: boolean,
+  ): void {
     const {name, service, priority} = route;
-    this.meter.record(name, 'queue', waitedMs);
-    this.meter.addWaiting(service, priority, -1);
-    if (isServed) this.meter.countPlace(service, priority, 'served');
+    this.meter.recordLatency(name, 'queue', waitedMs);
+    this.meter.addQueued(service, priority, -1);
+    if (isServed) this.meter.countCheckout(service, priority, 'served');
   }
 
-  onAnswered(
+  recordAnswer(
     user: string,
     route: DatabaseRoute,
     result: StatementResult,
     tookMs: number,
   ): void {
     this.meter.countAnswer(user);
-    this.meter.record(route.name, 'whole', tookMs);
+    this.meter.recordLatency(route.name, 'whole', tookMs);
     this.meter.count(route.name, outcomeOf(result));
   }
 
   /** A caller was turned away at its start; its key stands in no line. */
-  onDenied(database: string, denial: AccessDenial): void {
+  recordRejectedSession(database: string, denial: AccessDenial): void {
     this.meter.count('-', denial);
     this.log.info('Turned a caller away.', {
       database: database.slice(0, 40),
@@ -62,15 +66,19 @@
   }
 
   /** A statement was refused for want of rights; it did not run. */
-  onForbidden(request: string, caller: string, denial: AccessDenial): void {
+  recordUnauthorized(
+    request: string,
+    caller: string,
+    denial: AccessDenial,
+  ): void {
     this.meter.count('-', denial);
     this.log.info('Refused, not run.', {request, caller, reason: denial});
   }
 
-  onRefused(
-    {request, caller}: RequestName,
+  recordRefusal(
+    {request, caller}: RequestIdentity,
     route: DatabaseRoute,
-    refusal: PlaceRefusal,
+    refusal: CheckoutRefusal,
     waitedMs: number,
   ): void {
     const {reason, retryAfterMs, detail} = refusal;
@@ -79,20 +87,24 @@
     const place = {service, priority, route: name};
     const fields = {request, caller, ...place, reason, detail};
     this.meter.countRefusal(caller, reason);
-    this.meter.countPlace(service, priority, 'refused');
+    this.meter.countCheckout(service, priority, 'refused');
     this.log.info('Refused, not run.', {...fields, waited, retryAfterMs});
   }
 
-  onRepeated(request: string, service: string, attempt: Attempt): void {
+  recordRetry(request: string, service: string, attempt: Attempt): void {
     this.log.info('Tries again.', {request, service, ...rounded(attempt)});
   }
 
   /** A request could be repeated, but too many others were. */
-  onNotRepeated(request: string, service: string, detail: string): void {
+  recordRetryBudgetExhausted(
+    request: string,
+    service: string,
+    detail: string,
+  ): void {
     this.log.info('Repeats no more.', {request, service, detail});
   }
 
-  onFailed(request: string, service: string, attempt: Attempt): void {
+  recordFailure(request: string, service: string, attempt: Attempt): void {
     this.log.info('Failed.', {request, service, ...rounded(attempt)});
   }
 }
--- a/src/services/gateway/node/session_context.ts
+++ b/src/services/gateway/node/session_context.ts
@@ -3,53 +3,53 @@
 import {err, type Result} from '../../../base/common/outcome';
 import {Reply, type Task} from '../../../base/node/task';
 import {Consistency, type DatabaseRoute} from '../../../schema/generated/fleet';
-import {WAIT_PART} from '../../admission/common/patience';
+import {MAX_WAIT_FRACTION} from '../../admission/common/wait_budget';
 import type {ClassAdmission} from '../../admission/common/class_admission';
 import type {
-  PlaceNeed,
-  PlaceRefusal,
-  PlaceRequest,
-} from '../../dispatch/common/place_request';
-import type {Grant} from '../../dispatch/node/dispatcher_messages';
+  CheckoutRequirement,
+  CheckoutRefusal,
+  CheckoutRequest,
+} from '../../dispatch/common/checkout_request';
+import type {Checkout} from '../../dispatch/node/dispatcher_messages';
 import type {ServiceDispatcher} from '../../dispatch/node/service_dispatcher';
 import type {OperationLimits} from '../../account/node/operation_limits';
-import type {LeadProofs} from '../../lease/common/lead_leases';
+import type {LeaseChecks} from '../../lease/common/primary_leases';
 import {
   failure,
   type Failure,
   type StatementResult,
 } from '../../statement/common/statement';
-import type {SessionMemory} from '../common/session_memory';
-import {MemberTurn} from './member_turn';
-import type {RequestJournal} from './request_journal';
-import type {WorkRunner} from './work_runner';
+import type {GatewaySessionState} from '../common/gateway_session_state';
+import {CheckedOutConnection} from './checked_out_connection';
+import type {RequestTelemetry} from './request_telemetry';
+import type {StatementRunner} from './statement_runner';
 
 /** What the parts of one session share. */
 export interface SessionContext {
   readonly caller: CallerName;
   /** Whose connections to members its work uses. */
   readonly user: MemberUser;
-  readonly memory: SessionMemory;
+  readonly sessionState: GatewaySessionState;
   readonly clock: Clock;
-  readonly leases: LeadProofs;
+  readonly leases: LeaseChecks;
   /** How much accounts may ask. */
   readonly limits: OperationLimits;
-  readonly journal: RequestJournal;
+  readonly telemetry: RequestTelemetry;
   readonly classes: ClassAdmission;
   readonly signal: AbortSignal;
   /** Aborted once nobody waits for what the session asked. */
-  readonly gone: AbortSignal;
+  readonly callerGone: AbortSignal;
   /** How long its caller waited to be greeted; 0 after its first answer. */
-  greetingMs(): number;
+  startupWaitMs(): number;
   /** The route in force for the next transaction; undefined once dropped. */
   route(): DatabaseRoute | undefined;
   dispatcherOf(service: string): ServiceDispatcher;
   /** Who runs work of a service: this instance, or a pooler for it. */
-  runnerOf(service: string): WorkRunner;
+  runnerOf(service: string): StatementRunner;
 }
 
 /** One request, or one transaction, as far as a place for it matters. */
-export interface PlaceWish {
+export interface CheckoutOptions {
   readonly requestId: string;
   readonly route: DatabaseRoute;
   readonly needsPrimary: boolean;
@@ -63,22 +63,22 @@
 }
 
 /** Waits for a connection to a member that may serve a wish. */
-export function* takeTurn(
+export function* checkOutConnection(
   context: SessionContext,
-  wish: PlaceWish,
-): Task<Result<MemberTurn, PlaceRefusal>> {
-  const {caller, clock, journal, classes} = context;
+  wish: CheckoutOptions,
+): Task<Result<CheckedOutConnection, CheckoutRefusal>> {
+  const {caller, clock, telemetry, classes} = context;
   const {route, requestId} = wish;
   const {service, priority} = route;
   const kind = {service, priority, isTransaction: wish.isTransaction};
   const dispatcher = context.dispatcherOf(service);
   const asked = clock.now();
-  journal.onWaiting(route);
+  telemetry.recordQueued(route);
   const outcome = yield* waitForPlace(context, wish, dispatcher);
   const waitedMs = clock.now() - asked;
-  journal.onPlaced(route, waitedMs, outcome.isOk);
+  telemetry.recordDequeued(route, waitedMs, outcome.isOk);
   if (outcome.isErr) {
-    journal.onRefused(
+    telemetry.recordRefusal(
       {request: requestId, caller},
       route,
       outcome.error,
@@ -86,9 +86,9 @@
     );
   }
   return outcome.map(grant => {
-    const onDidWork = (workMs: number) => classes.onWorked(kind, workMs);
+    const onDidWork = (workMs: number) => classes.onDidWork(kind, workMs);
     const place = {grant, waitedMs, service, onDidWork};
-    return new MemberTurn(place, dispatcher, context);
+    return new CheckedOutConnection(place, dispatcher, context);
   });
 }
 
@@ -99,49 +99,53 @@
  */
 function* waitForPlace(
   context: SessionContext,
-  wish: PlaceWish,
+  wish: CheckoutOptions,
   dispatcher: ServiceDispatcher,
-): Task<Result<Grant, PlaceRefusal>> {
-  const {gone} = context;
-  const reply = new Reply<Result<Grant, PlaceRefusal>>();
+): Task<Result<Checkout, CheckoutRefusal>> {
+  const {callerGone} = context;
+  const reply = new Reply<Result<Checkout, CheckoutRefusal>>();
   const request = requestFor(context, wish, reply.give);
   dispatcher.post({kind: 'request', request});
   const withdraw = () => dispatcher.post({kind: 'withdraw', request});
-  if (gone.aborted) withdraw();
-  else gone.addEventListener('abort', withdraw, {once: true});
+  if (callerGone.aborted) withdraw();
+  else callerGone.addEventListener('abort', withdraw, {once: true});
   const outcome = yield* reply.wait();
-  gone.removeEventListener('abort', withdraw);
-  if (outcome.isErr || !gone.aborted) return outcome;
+  callerGone.removeEventListener('abort', withdraw);
+  if (outcome.isErr || !callerGone.aborted) return outcome;
   const {pooled} = outcome.value;
-  dispatcher.post({kind: 'return', returned: {pooled, clean: true}});
+  dispatcher.post({kind: 'return', returned: {pooled, isClean: true}});
   const detail = 'given back its place';
   return err({reason: 'abandoned', retryAfterMs: 0, detail});
 }
 
 function requestFor(
   context: SessionContext,
-  wish: PlaceWish,
-  settle: PlaceRequest<Grant>['settle'],
-): PlaceRequest<Grant> {
-  const {caller, user, memory, clock} = context;
+  wish: CheckoutOptions,
+  settle: CheckoutRequest<Checkout>['settle'],
+): CheckoutRequest<Checkout> {
+  const {caller, user, sessionState, clock} = context;
   const {route, deadline, passed, waitedMs, isTransaction} = wish;
   const now = clock.now();
   const due = dueAt(context, wish);
   const {service, priority, objectiveMs} = route;
   const kind = {service, priority, isTransaction};
-  const terms = {objectiveMs, timeMs: deadline - now, dueInMs: due - now};
-  const patienceMs = context.classes.patienceOf(kind, {...terms, waitedMs});
+  const terms = {
+    objectiveMs,
+    statementTimeLeftMs: deadline - now,
+    dueInMs: due - now,
+  };
+  const patienceMs = context.classes.waitBudgetMs(kind, {...terms, waitedMs});
   return {
     caller,
     user,
     priority,
     deadline,
     dueAt: due,
-    since: now,
-    patienceMs,
-    need: needOf(context, wish),
-    values: memory.values,
-    passed,
+    requestedAt: now,
+    waitBudgetMs: patienceMs,
+    requirement: needOf(context, wish),
+    values: sessionState.values,
+    triedInstances: passed,
     settle,
   };
 }
@@ -150,26 +154,32 @@
  * When the caller expects its answer. The wait to be greeted counts: right
  * after a restart it is most of what the first answer takes.
  */
-function dueAt(context: SessionContext, {route, since}: PlaceWish): number {
+function dueAt(
+  context: SessionContext,
+  {route, since}: CheckoutOptions,
+): number {
   if (route.objectiveMs === 0) return Infinity;
-  return since - context.greetingMs() + route.objectiveMs;
+  return since - context.startupWaitMs() + route.objectiveMs;
 }
 
 function needOf(
-  {memory}: SessionContext,
-  {route, needsPrimary, since}: PlaceWish,
-): PlaceNeed {
+  {sessionState}: SessionContext,
+  {route, needsPrimary, since}: CheckoutOptions,
+): CheckoutRequirement {
   if (needsPrimary) return {kind: 'primary'};
   const isSession = route.consistency === Consistency.CONSISTENCY_SESSION;
   return {
     kind: 'read',
-    coversTime: since - route.stalenessMs,
-    own: isSession ? memory.own : undefined,
+    minReadAt: since - route.stalenessMs,
+    ownCommit: isSession ? sessionState.lastCommit : undefined,
   };
 }
 
 /** An operation, as far as the limit of its account matters. */
-export type OperationWish = Pick<PlaceWish, 'requestId' | 'route' | 'since'>;
+export type RateLimitedOperation = Pick<
+  CheckoutOptions,
+  'requestId' | 'route' | 'since'
+>;
 
 /**
  * Counts an operation of a session's account in; the refusal of one that is
@@ -177,15 +187,15 @@
  * limit costs others neither a place nor a connection.
  */
 export function* admitOperation(
-  {caller, user, limits, journal, clock}: SessionContext,
-  {requestId, route, since}: OperationWish,
+  {caller, user, limits, telemetry, clock}: SessionContext,
+  {requestId, route, since}: RateLimitedOperation,
 ): Task<StatementResult | undefined> {
   const askedAt = clock.now();
-  const deadline = since + route.statementMs * WAIT_PART;
+  const deadline = since + route.statementMs * MAX_WAIT_FRACTION;
   const admitted = yield* limits.admit(user, deadline);
   if (admitted.isOk) return undefined;
   const name = {request: requestId, caller};
-  journal.onRefused(name, route, admitted.error, clock.now() - askedAt);
+  telemetry.recordRefusal(name, route, admitted.error, clock.now() - askedAt);
   return refusalResult(admitted.error);
 }
 
@@ -202,19 +212,19 @@
  * Whether a request may be tried once more after a cause; where others have
  * used the budget of repeats up, that is logged.
  */
-export function mayRepeat(
-  {classes, journal}: Pick<SessionContext, 'classes' | 'journal'>,
+export function canRetry(
+  {classes, telemetry}: Pick<SessionContext, 'classes' | 'telemetry'>,
   requestId: string,
   service: string,
   cause: string,
 ): boolean {
-  if (REDIRECTIONS.has(cause) || classes.mayRepeat(service)) return true;
-  journal.onNotRepeated(requestId, service, cause);
+  if (REDIRECTIONS.has(cause) || classes.canRetry(service)) return true;
+  telemetry.recordRetryBudgetExhausted(requestId, service, cause);
   return false;
 }
 
 /** What a caller is told where no place was to be had; nothing ran. */
-export function refusalResult(refusal: PlaceRefusal): StatementResult {
+export function refusalResult(refusal: CheckoutRefusal): StatementResult {
   const {reason, retryAfterMs} = refusal;
   return failure('busy', `${reason}, retry after ${retryAfterMs} ms`);
 }
--- a/src/services/gateway/node/single_statement.ts
+++ b/src/services/gateway/node/single_statement.ts
@@ -2,24 +2,28 @@
 import {Consistency, type DatabaseRoute} from '../../../schema/generated/fleet';
 import {
   failure,
-  saysNotRun,
+  didNotRun,
   type StatementResult,
   type TargetCall,
   type TargetStatement,
 } from '../../statement/common/statement';
-import {isDone, isOutside, type MemberTurn} from './member_turn';
-import {makeReady, type WorkStatement} from './statement_on_link';
 import {
-  mayRepeat,
+  isDone,
+  isOutsideTransaction,
+  type CheckedOutConnection,
+} from './checked_out_connection';
+import {prepareConnection, type MemberStatement} from './statement_preparation';
+import {
+  canRetry,
   refusalResult,
-  takeTurn,
+  checkOutConnection,
   type SessionContext,
 } from './session_context';
 
 /** A statement outside a transaction. */
-export interface SingleRequest {
+export interface StatementRequest {
   readonly requestId: string;
-  readonly statement: WorkStatement;
+  readonly statement: MemberStatement;
   readonly isWrite: boolean;
   readonly route: DatabaseRoute;
   /** When its last byte was here. */
@@ -51,9 +55,9 @@
 type AgainTry = Extract<Try, {kind: 'again'}>;
 
 /** Runs one statement on a member that may serve it. */
-export function* runSingle(
+export function* runStatement(
   context: SessionContext,
-  request: SingleRequest,
+  request: StatementRequest,
 ): Task<StatementResult> {
   const {route, since, requestId} = request;
   context.classes.onRequest(route.service);
@@ -62,7 +66,7 @@
   let mayHaveRun = false;
   let waitedMs = 0;
   for (let tries = 1; ; tries++) {
-    const taken = yield* takeTurn(context, {
+    const taken = yield* checkOutConnection(context, {
       requestId,
       route,
       needsPrimary: needsPrimary(request),
@@ -86,9 +90,9 @@
     const {detail, busy} = outcome;
     mayHaveRun ||= outcome.mayHaveRun;
     const attempt = {instance: turn.instance, tookMs: now - startedAt, detail};
-    context.journal.onRepeated(requestId, route.service, attempt);
+    context.telemetry.recordRetry(requestId, route.service, attempt);
     const isLast = tries >= MOST_TRIES || now >= deadline;
-    if (isLast || !mayRepeat(context, requestId, route.service, detail)) {
+    if (isLast || !canRetry(context, requestId, route.service, detail)) {
       if (mayHaveRun) return failure('timeout', detail);
       return failure('busy', `${detail}, retry after ${BUSY_PAUSE_MS * 4} ms`);
     }
@@ -101,24 +105,24 @@
 }
 
 /** Whether a statement is one for the primary only. */
-export function needsPrimary({isWrite, route}: SingleRequest): boolean {
+export function needsPrimary({isWrite, route}: StatementRequest): boolean {
   return isWrite || route.consistency === Consistency.CONSISTENCY_PRIMARY;
 }
 
 function* tryOn(
   context: SessionContext,
-  turn: MemberTurn,
-  request: SingleRequest,
+  turn: CheckedOutConnection,
+  request: StatementRequest,
   deadline: number,
 ): Task<Try> {
   const {clock} = context;
-  const ready = yield* makeReady(context, turn, request.statement);
+  const ready = yield* prepareConnection(context, turn, request.statement);
   if (ready.kind === 'unknown name') {
-    turn.end(false);
+    turn.release(false);
     return {kind: 'final', result: failure('unknown name', 'not prepared')};
   }
   if (ready.kind === 'connection failed') {
-    turn.end(false);
+    turn.release(false);
     return again('own statements failed');
   }
   const {statement} = ready;
@@ -136,36 +140,36 @@
  */
 function* write(
   context: SessionContext,
-  turn: MemberTurn,
-  request: SingleRequest,
+  turn: CheckedOutConnection,
+  request: StatementRequest,
   statement: TargetStatement,
   timeMs: number,
 ): Task<Try> {
   const {requestId, route} = request;
   const askedAt = context.clock.now();
-  const [reply] = yield* turn.ask([{requestId, statement}], timeMs);
-  turn.observe(askedAt, reply!, isDone(reply) ? 'leads' : undefined);
-  turn.end(isOutside(reply));
+  const [reply] = yield* turn.send([{requestId, statement}], timeMs);
+  turn.reportObservation(askedAt, reply!, isDone(reply) ? 'leads' : undefined);
+  turn.release(isOutsideTransaction(reply));
   if (reply?.kind !== 'answer') {
     const attempt = {
       instance: turn.instance,
       tookMs: context.clock.now() - askedAt,
       detail: `no answer to a write: ${reply?.reason}`,
     };
-    context.journal.onFailed(requestId, route.service, attempt);
+    context.telemetry.recordFailure(requestId, route.service, attempt);
     const text = 'the write may have taken effect';
     return {kind: 'final', result: failure('unknown outcome', text)};
   }
   const {result, position} = reply;
   if (result.kind === 'done') {
     const left = timeMs - (context.clock.now() - askedAt);
-    if (!(yield* turn.confirmLead(left, reply))) {
+    if (!(yield* turn.confirmPrimary(left, reply))) {
       return {kind: 'final', result: unprovenCommit(context, request, turn)};
     }
-    context.memory.onCommit(position, context.clock.now());
+    context.sessionState.recordCommit(position, context.clock.now());
     return {kind: 'final', result};
   }
-  if (!saysNotRun(result.failure)) return {kind: 'final', result};
+  if (!didNotRun(result.failure)) return {kind: 'final', result};
   return again(result.failure, {busy: result.failure !== 'not primary'});
 }
 
@@ -174,12 +178,16 @@
  * been replaced: it may be rolled back, and nobody may say that it is kept.
  */
 function unprovenCommit(
-  {journal}: SessionContext,
-  {requestId, route}: SingleRequest,
-  {instance}: MemberTurn,
+  {telemetry}: SessionContext,
+  {requestId, route}: StatementRequest,
+  {instance}: CheckedOutConnection,
 ): StatementResult {
   const detail = 'committed without a lease on the lead';
-  journal.onFailed(requestId, route.service, {instance, tookMs: 0, detail});
+  telemetry.recordFailure(requestId, route.service, {
+    instance,
+    tookMs: 0,
+    detail,
+  });
   return failure('unknown outcome', 'the write may be kept');
 }
 
@@ -192,38 +200,40 @@
  */
 function* read(
   {clock}: SessionContext,
-  turn: MemberTurn,
-  request: SingleRequest,
+  turn: CheckedOutConnection,
+  request: StatementRequest,
   statement: TargetStatement,
   askedAt: number,
   timeMs: number,
 ): Task<Try> {
   const {requestId} = request;
-  const {after} = turn.grant;
-  const calls: TargetCall[] = [{requestId, statement, ...(after && {after})}];
-  if (!after) calls.push(...LEAD_PROOF);
-  const [reply, proof, ending] = yield* turn.ask(
+  const {minPosition} = turn.grant;
+  const calls: TargetCall[] = [
+    {requestId, statement, ...(minPosition && {minPosition})},
+  ];
+  if (!minPosition) calls.push(...LEAD_PROOF);
+  const [reply, proof, ending] = yield* turn.send(
     calls,
     Math.min(timeMs, LOST_ANSWER_MS),
   );
-  const last = after ? reply : ending;
+  const last = minPosition ? reply : ending;
   const leads = isDone(proof);
-  turn.observe(askedAt, proof ?? reply!, leads ? 'leads' : undefined);
-  turn.end(isOutside(last));
+  turn.reportObservation(askedAt, proof ?? reply!, leads ? 'leads' : undefined);
+  turn.release(isOutsideTransaction(last));
   if (reply?.kind !== 'answer') {
     return again(`lost: ${reply?.reason}`, {mayHaveRun: true});
   }
   const {result} = reply;
   if (result.kind === 'done') {
-    if (after) return {kind: 'final', result};
+    if (minPosition) return {kind: 'final', result};
     const left = timeMs - (clock.now() - askedAt);
-    const proved = leads && (yield* turn.confirmLead(left, proof));
+    const proved = leads && (yield* turn.confirmPrimary(left, proof));
     if (proved) return {kind: 'final', result};
     return again('the lead is not proved', {mayHaveRun: true});
   }
   return again(result.failure, {
     busy: result.failure === 'busy',
-    mayHaveRun: !saysNotRun(result.failure),
+    mayHaveRun: !didNotRun(result.failure),
   });
 }
 
--- a/src/services/gateway/node/statement_on_link.ts
+++ b/src/services/gateway/node/statement_preparation.ts
@@ -3,14 +3,14 @@
   Statement,
   TargetStatement,
 } from '../../statement/common/statement';
-import type {MemberTurn} from './member_turn';
+import type {CheckedOutConnection} from './checked_out_connection';
 import type {SessionContext} from './session_context';
 
 /** A statement that a member runs. */
-export type WorkStatement = Statement & {kind: 'read' | 'write' | 'execute'};
+export type MemberStatement = Statement & {kind: 'read' | 'write' | 'execute'};
 
 /** A statement in the words of one connection, or why there is none. */
-export type ReadyStatement =
+export type PreparationResult =
   | {readonly kind: 'ready'; readonly statement: TargetStatement}
   | {readonly kind: 'unknown name'}
   | {readonly kind: 'connection failed'};
@@ -23,20 +23,20 @@
  * until it has them: sent along, a statement behind one that failed would run
  * with another session's values.
  */
-export function* makeReady(
-  {memory}: SessionContext,
-  turn: MemberTurn,
-  asked: WorkStatement,
-): Task<ReadyStatement> {
+export function* prepareConnection(
+  {sessionState}: SessionContext,
+  turn: CheckedOutConnection,
+  asked: MemberStatement,
+): Task<PreparationResult> {
   const {pooled} = turn.grant;
-  const prelude = memory.valuesFor(pooled);
+  const prelude = sessionState.statementsToRestore(pooled);
   let statement: TargetStatement = asked;
   if (asked.kind === 'execute') {
-    const execution = memory.executionFor(asked, pooled);
+    const execution = sessionState.resolveExecute(asked, pooled);
     if (!execution) return {kind: 'unknown name'};
     prelude.push(...execution.prelude);
     statement = execution.statement;
   }
-  const isReady = yield* turn.prepare(prelude, PRELUDE_MS);
+  const isReady = yield* turn.runPrelude(prelude, PRELUDE_MS);
   return isReady ? {kind: 'ready', statement} : {kind: 'connection failed'};
 }
--- a/src/services/gateway/node/work_runner.ts
+++ b/src/services/gateway/node/statement_runner.ts
@@ -4,45 +4,45 @@
   StatementResult,
   TransactionState,
 } from '../../statement/common/statement';
-import {OpenTransaction, type TransactionStep} from './open_transaction';
+import {LocalTransaction, type StatementOutcome} from './local_transaction';
 import type {SessionContext} from './session_context';
-import {runSingle, type SingleRequest} from './single_statement';
-import type {WorkStatement} from './statement_on_link';
+import {runStatement, type StatementRequest} from './single_statement';
+import type {MemberStatement} from './statement_preparation';
 
 /** A transaction that a session has open, wherever its connection is. */
-export interface WorkTransaction {
+export interface SessionTransaction {
   readonly state: TransactionState;
   run(
     requestId: string,
-    statement: WorkStatement,
+    statement: MemberStatement,
     isWrite: boolean,
-  ): Task<TransactionStep>;
-  commit(requestId: string): Task<TransactionStep>;
+  ): Task<StatementOutcome>;
+  commit(requestId: string): Task<StatementOutcome>;
   rollback(): Task<void>;
   /** Undoes everything; the session's next statements fail. */
-  giveUp(reason: string): void;
+  abort(reason: string): void;
 }
 
 /** Runs the work of sessions on the members of a service. */
-export interface WorkRunner {
+export interface StatementRunner {
   /** Runs a statement outside a transaction. */
-  runSingle(
+  runStatement(
     context: SessionContext,
-    request: SingleRequest,
+    request: StatementRequest,
   ): Task<StatementResult>;
   /** Opens a transaction that began at a time of the context's clock. */
-  begin(
+  beginTransaction(
     context: SessionContext,
     route: DatabaseRoute,
     readOnly: boolean,
     since: number,
-  ): WorkTransaction;
+  ): SessionTransaction;
 }
 
 /** Runs work on this instance's own connections. */
-export const LOCAL_RUNNER: WorkRunner = {
-  runSingle,
-  begin: (context, route, readOnly, since) => {
-    return new OpenTransaction(context, route, readOnly, since);
+export const LOCAL_RUNNER: StatementRunner = {
+  runStatement,
+  beginTransaction: (context, route, readOnly, since) => {
+    return new LocalTransaction(context, route, readOnly, since);
   },
 };
--- a/src/services/gateway/test/node/accounts.test.ts
+++ b/src/services/gateway/test/node/accounts.test.ts
@@ -7,7 +7,7 @@
 import {FakeLimits} from './fake_limits';
 import {
   BEGIN,
-  Caller,
+  TestCaller,
   COMMIT,
   ROLLBACK,
   makeCatalog,
@@ -52,8 +52,8 @@
 }
 
 function confirm(): void {
-  lease.extend(clock.now());
-  gateway.gateway.onDidConfirmCatalog();
+  lease.extendLease(clock.now());
+  gateway.gateway.notifyCatalogConfirmed();
 }
 
 function setUp(boundMs = LONG_BOUND_MS): void {
@@ -76,20 +76,20 @@
 
 describe('a caller of a keyed database', () => {
   it('runs under the name of its account, and its key goes nowhere', async () => {
-    const caller = new Caller(gateway, 'db', 'fern-key-1');
-    await caller.ask(WRITE);
-    expect(group.runs.map(({user}) => user)).toEqual(['fern']);
-    expect(gateway.logged.lines.join()).not.toContain('fern-key');
+    const caller = new TestCaller(gateway, 'db', 'fern-key-1');
+    await caller.send(WRITE);
+    expect(group.executed.map(({user}) => user)).toEqual(['fern']);
+    expect(gateway.captured.lines.join()).not.toContain('fern-key');
   });
 
   it('gives its key away nowhere else, where none is asked for', async () => {
-    const caller = new Caller(gateway, 'open', 'fern-key-1');
+    const caller = new TestCaller(gateway, 'open', 'fern-key-1');
     gateway.group.member('a').isDown = true;
     gateway.group.member('b').isDown = true;
     gateway.group.member('c').isDown = true;
-    await caller.ask(WRITE);
-    expect(gateway.logged.lines.join()).toContain('Refused, not run.');
-    expect(gateway.logged.lines.join()).not.toContain('fern-key');
+    await caller.send(WRITE);
+    expect(gateway.captured.lines.join()).toContain('Refused, not run.');
+    expect(gateway.captured.lines.join()).not.toContain('fern-key');
   });
 
   it('is turned away with a key that no account holds', () => {
@@ -107,13 +107,17 @@
     // A member holds each connection to the account that it was opened for.
     // With one connection in all, the second account's work must wait for its
     // own instead of running under the first one's name.
-    group.mostConnections = 1;
-    const fern = new Caller(gateway, 'db', 'fern-key-0');
-    const oak = new Caller(gateway, 'db', 'oak-key-0');
-    await fern.ask(WRITE);
-    await oak.ask(WRITE);
-    await fern.ask(WRITE);
-    expect(group.runs.map(({user}) => user)).toEqual(['fern', 'oak', 'fern']);
+    group.maxConnections = 1;
+    const fern = new TestCaller(gateway, 'db', 'fern-key-0');
+    const oak = new TestCaller(gateway, 'db', 'oak-key-0');
+    await fern.send(WRITE);
+    await oak.send(WRITE);
+    await fern.send(WRITE);
+    expect(group.executed.map(({user}) => user)).toEqual([
+      'fern',
+      'oak',
+      'fern',
+    ]);
   });
 });
 
@@ -139,16 +143,16 @@
     confirm();
     await pause(20);
     const member = group.member('a');
-    const before = member.opens;
-    member.opensAfterMs = 40;
-    const patient = new Caller(gateway, 'db', 'fern-key-0');
-    const urgent = new Caller(gateway, 'urgent', 'oak-key-0');
-    const first = patient.ask(WRITE);
+    const before = member.openCount;
+    member.openDelayMs = 40;
+    const patient = new TestCaller(gateway, 'db', 'fern-key-0');
+    const urgent = new TestCaller(gateway, 'urgent', 'oak-key-0');
+    const first = patient.send(WRITE);
     await pause(10);
-    const second = urgent.ask(WRITE);
+    const second = urgent.send(WRITE);
     expect((await first).result.kind).toBe('done');
     expect((await second).result.kind).toBe('done');
-    expect(member.opens - before).toBe(2);
+    expect(member.openCount - before).toBe(2);
   });
 });
 
@@ -156,32 +160,34 @@
   it('ends the transaction that is under way with it', async () => {
     // A caller has written inside a transaction when the operator withdraws
     // its key. The commit must not go through, and the caller is told why.
-    const caller = new Caller(gateway, 'db', 'oak-key-0');
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
+    const caller = new TestCaller(gateway, 'db', 'oak-key-0');
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
     gateway.gateway.setCatalog(makeAccounts(2, [makeAccount('fern', 2)]));
-    const reply = await caller.ask(COMMIT);
+    const reply = await caller.send(COMMIT);
     expect(reply).toMatchObject({
       state: 'idle',
       result: {failure: 'not authorized'},
     });
     expect(caller.isClosed).toBe(true);
-    expect(group.callerRuns.some(run => run.includes('commit'))).toBe(false);
+    expect(group.callerStatements.some(run => run.includes('commit'))).toBe(
+      false,
+    );
   });
 
   it('closes the session that rests with it', async () => {
-    const caller = new Caller(gateway, 'db', 'oak-key-0');
-    await caller.ask(READ);
+    const caller = new TestCaller(gateway, 'db', 'oak-key-0');
+    await caller.send(READ);
     gateway.gateway.setCatalog(makeAccounts(2, []));
     await new Promise(resolve => setTimeout(resolve, 20));
     expect(caller.isClosed).toBe(true);
   });
 
   it('serves no more although its account has another key', async () => {
-    const caller = new Caller(gateway, 'db', 'fern-key-1');
-    await caller.ask(READ);
+    const caller = new TestCaller(gateway, 'db', 'fern-key-1');
+    await caller.send(READ);
     gateway.gateway.setCatalog(makeAccounts(2, [makeAccount('fern', 1)]));
-    const reply = await caller.ask(READ);
+    const reply = await caller.send(READ);
     expect(reply.result).toMatchObject({failure: 'not authorized'});
     expect(denialOf('db', 'fern-key-0')).toBeUndefined();
   });
@@ -190,16 +196,16 @@
     gateway.gateway.setCatalog(makeAccounts(2, []));
     expect(denialOf('db', 'oak-key-0')).toBe('unknown database');
     gateway.gateway.setCatalog(makeAccounts(3, [makeAccount('oak')]));
-    const caller = new Caller(gateway, 'db', 'oak-key-0');
-    expect((await caller.ask(READ)).result.kind).toBe('done');
+    const caller = new TestCaller(gateway, 'db', 'oak-key-0');
+    expect((await caller.send(READ)).result.kind).toBe('done');
   });
 
   it('that went to another account runs for neither in old sessions', async () => {
-    const caller = new Caller(gateway, 'db', 'oak-key-0');
-    await caller.ask(READ);
+    const caller = new TestCaller(gateway, 'db', 'oak-key-0');
+    await caller.send(READ);
     const moved = {...makeAccount('oak'), account: 'elm'};
     gateway.gateway.setCatalog(makeAccounts(2, [moved]));
-    const reply = await caller.ask(READ);
+    const reply = await caller.send(READ);
     expect(reply.result).toMatchObject({failure: 'not authorized'});
   });
 });
@@ -213,75 +219,77 @@
   it('refuses keyed work as not run, and serves open databases', async () => {
     // The instance is cut off. Whether keys were withdrawn meanwhile it cannot
     // know, so once its lease on the catalog is over a key proves nothing.
-    const keyed = new Caller(gateway, 'db', 'oak-key-0');
-    const open = new Caller(gateway, 'open', 'anybody');
-    await keyed.ask(READ);
+    const keyed = new TestCaller(gateway, 'db', 'oak-key-0');
+    const open = new TestCaller(gateway, 'open', 'anybody');
+    await keyed.send(READ);
     await new Promise(resolve => setTimeout(resolve, BOUND_MS));
-    const refused = await keyed.ask(READ);
+    const refused = await keyed.send(READ);
     expect(refused.result).toMatchObject({failure: 'busy'});
     expect(denialOf('db', 'oak-key-0')).toBe('unconfirmed');
-    expect((await open.ask(READ)).result.kind).toBe('done');
+    expect((await open.send(READ)).result.kind).toBe('done');
     expect(gateway.gateway.isReady).toBe(false);
     confirm();
-    expect((await keyed.ask(READ)).result.kind).toBe('done');
+    expect((await keyed.send(READ)).result.kind).toBe('done');
   });
 
   it('commits nothing of a transaction that began before', async () => {
-    const caller = new Caller(gateway, 'db', 'oak-key-0');
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
+    const caller = new TestCaller(gateway, 'db', 'oak-key-0');
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
     await new Promise(resolve => setTimeout(resolve, BOUND_MS));
-    const reply = await caller.ask(COMMIT);
+    const reply = await caller.send(COMMIT);
     expect(reply.result).toMatchObject({failure: 'aborted'});
-    expect(group.callerRuns.some(run => run.includes('commit'))).toBe(false);
+    expect(group.callerStatements.some(run => run.includes('commit'))).toBe(
+      false,
+    );
   });
 });
 
 describe('the limit of an account', () => {
   it('counts each statement, and a transaction once', async () => {
-    const caller = new Caller(gateway, 'db', 'fern-key-0');
-    await caller.ask(READ);
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
-    await caller.ask(READ);
-    await caller.ask(COMMIT);
-    await caller.ask(BEGIN);
-    await caller.ask(ROLLBACK);
+    const caller = new TestCaller(gateway, 'db', 'fern-key-0');
+    await caller.send(READ);
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
+    await caller.send(READ);
+    await caller.send(COMMIT);
+    await caller.send(BEGIN);
+    await caller.send(ROLLBACK);
     expect(limits.admitted).toEqual(['fern', 'fern']);
     expect(limits.refunded).toEqual([]);
   });
 
   it('refuses what is beyond it as not run, with a time', async () => {
-    const caller = new Caller(gateway, 'db', 'fern-key-0');
+    const caller = new TestCaller(gateway, 'db', 'fern-key-0');
     limits.left = 0;
-    const reply = await caller.ask(WRITE);
+    const reply = await caller.send(WRITE);
     expect(reply).toMatchObject({state: 'idle', result: {failure: 'busy'}});
     expect(JSON.stringify(reply)).toMatch(/over its limit, retry after 70 ms/);
-    expect(group.runs).toEqual([]);
-    expect(gateway.logged.lines.join()).toContain('counter=p2');
+    expect(group.executed).toEqual([]);
+    expect(gateway.captured.lines.join()).toContain('counter=p2');
   });
 
   it('refuses a transaction with its first statement, whole', async () => {
     // A transaction that is refused half way would have used a place for
     // nothing; one that went on after its refusal would commit a part of it.
-    const caller = new Caller(gateway, 'db', 'fern-key-0');
+    const caller = new TestCaller(gateway, 'db', 'fern-key-0');
     limits.left = 0;
-    await caller.ask(BEGIN);
-    const refused = await caller.ask(WRITE);
+    await caller.send(BEGIN);
+    const refused = await caller.send(WRITE);
     expect(refused).toMatchObject({state: 'failed', result: {failure: 'busy'}});
     limits.left = 5;
-    expect((await caller.ask(WRITE)).state).toBe('failed');
-    const committed = await caller.ask(COMMIT);
+    expect((await caller.send(WRITE)).state).toBe('failed');
+    const committed = await caller.send(COMMIT);
     expect(committed.result).toMatchObject({failure: 'aborted'});
-    expect(group.runs).toEqual([]);
+    expect(group.executed).toEqual([]);
     expect(limits.admitted).toEqual([]);
   });
 
   it('refuses a commit alone, as not run', async () => {
-    const caller = new Caller(gateway, 'db', 'fern-key-0');
+    const caller = new TestCaller(gateway, 'db', 'fern-key-0');
     limits.left = 0;
-    await caller.ask(BEGIN);
-    const refused = await caller.ask(COMMIT);
+    await caller.send(BEGIN);
+    const refused = await caller.send(COMMIT);
     expect(refused).toMatchObject({state: 'idle', result: {failure: 'busy'}});
   });
 
@@ -291,11 +299,11 @@
     for (const instance of ['a', 'b', 'c']) {
       group.member(instance).isDown = true;
     }
-    const caller = new Caller(gateway, 'db', 'fern-key-0');
-    const single = await caller.ask(WRITE);
+    const caller = new TestCaller(gateway, 'db', 'fern-key-0');
+    const single = await caller.send(WRITE);
     expect(single.result).toMatchObject({failure: 'busy'});
-    await caller.ask(BEGIN);
-    const first = await caller.ask(WRITE);
+    await caller.send(BEGIN);
+    const first = await caller.send(WRITE);
     expect(first.result).toMatchObject({failure: 'busy'});
     expect(limits.admitted).toHaveLength(2);
     expect(limits.refunded).toEqual(['fern', 'fern']);
--- a/src/services/gateway/test/node/fake_group.ts
+++ b/src/services/gateway/test/node/fake_group.ts
@@ -2,7 +2,7 @@
 import type {Position} from '../../../position/common/position';
 import {comparePositions} from '../../../position/common/position';
 import {
-  DONE_HERE,
+  DONE_LOCALLY,
   failure,
   type StatementResult,
   type TargetCall,
@@ -21,7 +21,7 @@
 } from '../../../target_link/common/target_link';
 
 /** What one statement did at a member. */
-export interface Run {
+export interface ExecutedStatement {
   readonly instance: string;
   readonly link: number;
   /** Whose connection it ran on. */
@@ -40,29 +40,29 @@
   /** Takes statements and never answers. */
   isSilent = false;
   /** Its answers take so long, in milliseconds. */
-  answersAfterMs = 0;
+  answerDelayMs = 0;
   /** Opening a connection takes so long, in milliseconds. */
-  opensAfterMs = 0;
+  openDelayMs = 0;
   /** Loses the answers of so many statements that it runs. */
-  losesAnswers = 0;
+  answersToLose = 0;
   /** Answers so many statements that it has no room. */
-  busyFor = 0;
-  connections = 0;
+  busyAnswers = 0;
+  connectionCount = 0;
   /** Connections that were opened so far. */
-  opens = 0;
+  openCount = 0;
   /** Connections that were closed so far. */
-  closes = 0;
+  closeCount = 0;
   /** Connections to it that were closed, by their numbers. */
-  readonly closed = new Set<number>();
+  readonly closedLinks = new Set<number>();
 
   constructor(readonly instance: string) {}
 }
 
 /** A group of members in memory, behind the seam that sessions see. */
 export class FakeGroup implements TargetConnector, StatusReader {
-  readonly runs: Run[] = [];
+  readonly executed: ExecutedStatement[] = [];
   readonly members = new Map<string, FakeMember>();
-  mostConnections = 16;
+  maxConnections = 16;
   private links = 0;
 
   constructor(readonly instances: readonly string[]) {
@@ -88,15 +88,15 @@
    * Lets another member lead the next term while the old primary is cut off
    * from the group: it hears of nothing and goes on.
    */
-  promoteBesides(instance: string): void {
+  promoteWithoutDemoting(instance: string): void {
     const heir = this.member(instance);
     heir.isPrimary = true;
     heir.position = {...heir.position, term: heir.position.term + 1};
   }
 
   /** What ran under callers' ids, as "member text". */
-  get callerRuns(): string[] {
-    return this.runs
+  get callerStatements(): string[] {
+    return this.executed
       .filter(({requestId}) => requestId !== '-')
       .map(({instance, text}) => `${instance} ${text}`);
   }
@@ -105,26 +105,30 @@
   read(result: StatementResult): MemberStatus | undefined {
     if (result.kind !== 'done') return undefined;
     const {isPrimary, position} = this.member(result.rows[0]!);
-    return {leads: isPrimary, term: position.term, received: position};
+    return {
+      isPrimary,
+      term: position.term,
+      receivedPosition: position,
+    };
   }
 
   connect(target: TargetAddress): Promise<Result<TargetLink, ConnectFailure>> {
     const member = this.members.get(target.instance);
     if (!member || member.isDown) return Promise.resolve(err('refused'));
-    if (member.connections >= this.mostConnections) {
+    if (member.connectionCount >= this.maxConnections) {
       return Promise.resolve(err('too many connections'));
     }
     const link = new FakeLink(this, member, ++this.links, target.user);
-    if (member.opensAfterMs === 0) return Promise.resolve(ok(link));
+    if (member.openDelayMs === 0) return Promise.resolve(ok(link));
     return new Promise(resolve => {
-      setTimeout(() => resolve(ok(link)), member.opensAfterMs);
+      setTimeout(() => resolve(ok(link)), member.openDelayMs);
     });
   }
 }
 
 class FakeLink implements TargetLink {
   isClosed = false;
-  readonly openedAt: Position;
+  readonly positionAtOpen: Position;
   private readonly values = new Map<string, string>();
   private readonly prepared = new Map<string, string>();
   private readonly listeners: (() => void)[] = [];
@@ -139,9 +143,9 @@
     private readonly id: number,
     private readonly user: string,
   ) {
-    this.openedAt = member.position;
-    member.connections++;
-    member.opens++;
+    this.positionAtOpen = member.position;
+    member.connectionCount++;
+    member.openCount++;
   }
 
   send(calls: readonly TargetCall[]): readonly Promise<TargetReply>[] {
@@ -155,9 +159,9 @@
   close(): void {
     if (this.isClosed) return;
     this.isClosed = true;
-    this.member.connections--;
-    this.member.closes++;
-    this.member.closed.add(this.id);
+    this.member.connectionCount--;
+    this.member.closeCount++;
+    this.member.closedLinks.add(this.id);
     for (const settle of this.waiting) settle({kind: 'lost', reason: 'closed'});
     for (const listener of this.listeners) listener();
   }
@@ -170,16 +174,16 @@
     }
     if (member.isSilent) return this.never();
     const result = this.run(call);
-    if (member.losesAnswers > 0 && call.requestId !== undefined) {
-      member.losesAnswers--;
+    if (member.answersToLose > 0 && call.requestId !== undefined) {
+      member.answersToLose--;
       return this.never();
     }
     const {state} = this;
     const {position} = member;
     const reply = {kind: 'answer', result, state, position} as const;
-    if (member.answersAfterMs === 0) return Promise.resolve(reply);
+    if (member.answerDelayMs === 0) return Promise.resolve(reply);
     return new Promise(resolve => {
-      setTimeout(() => resolve(reply), member.answersAfterMs);
+      setTimeout(() => resolve(reply), member.answerDelayMs);
     });
   }
 
@@ -187,13 +191,17 @@
     return new Promise(resolve => this.waiting.push(resolve));
   }
 
-  private run({requestId, statement, after}: TargetCall): StatementResult {
+  private run({
+    requestId,
+    statement,
+    minPosition: after,
+  }: TargetCall): StatementResult {
     const {member} = this;
     const takesSlot = ['read', 'write', 'execute', 'commit'].includes(
       statement.kind,
     );
-    if (takesSlot && member.busyFor > 0) {
-      member.busyFor--;
+    if (takesSlot && member.busyAnswers > 0) {
+      member.busyAnswers--;
       return failure('busy', '');
     }
     if (after && comparePositions(member.position, after) < 0) {
@@ -207,20 +215,20 @@
         this.state = 'open';
         this.plain = !statement.readOnly;
         this.wrote = false;
-        return DONE_HERE;
+        return DONE_LOCALLY;
       case 'rollback':
         this.state = 'idle';
-        return DONE_HERE;
+        return DONE_LOCALLY;
       case 'reset':
         this.values.clear();
         this.prepared.clear();
-        return DONE_HERE;
+        return DONE_LOCALLY;
       case 'set':
         this.values.set(statement.name, statement.value);
-        return DONE_HERE;
+        return DONE_LOCALLY;
       case 'prepare':
         this.prepared.set(statement.name, statement.action);
-        return DONE_HERE;
+        return DONE_LOCALLY;
       case 'status':
         return {kind: 'done', rows: [member.instance], signature: ''};
       default:
@@ -268,6 +276,6 @@
     const item = 'item' in statement ? ` ${statement.item}` : '';
     const text = `${statement.kind}${item}`;
     const {id: link, user} = this;
-    this.group.runs.push({instance, link, user, requestId, text, values});
+    this.group.executed.push({instance, link, user, requestId, text, values});
   }
 }
--- a/src/services/gateway/test/node/fake_limits.ts
+++ b/src/services/gateway/test/node/fake_limits.ts
@@ -2,7 +2,7 @@
 import type {Task} from '../../../../base/node/task';
 import type {
   OperationLimits,
-  OverLimit,
+  LimitRefusal,
 } from '../../../account/node/operation_limits';
 
 /** Lets an account run some operations, and notes what is asked of it. */
@@ -12,7 +12,7 @@
 
   constructor(public left = Infinity) {}
 
-  *admit(account: string): Task<Result<void, OverLimit>> {
+  *admit(account: string): Task<Result<void, LimitRefusal>> {
     if (this.left < 1) {
       const detail = 'counter=p2';
       return err({reason: 'over its limit', retryAfterMs: 70, detail});
--- a/src/services/gateway/test/node/gateway_lists.test.ts
+++ b/src/services/gateway/test/node/gateway_lists.test.ts
@@ -52,7 +52,7 @@
   }));
   const catalog = makeCatalog([makeRoute()], {services});
   edge = new TestGateway(new FakeGroup(['a', 'b', 'c']), catalog);
-  edge.gateway.setMembers({members: allMembers(), proxies: 100});
+  edge.gateway.setMembers({members: allMembers(), proxyCount: 100});
   told = [];
 });
 
@@ -66,10 +66,10 @@
   // poolers are named: each change, told to all services with all members,
   // costs each proxy their number squared.
   const members = allMembers();
-  edge.gateway.setMembers({members, proxies: 100});
+  edge.gateway.setMembers({members, proxyCount: 100});
   expect(told).toEqual([]);
   members[4] = {...members[4]!, draining: true};
-  edge.gateway.setMembers({members, proxies: 100});
+  edge.gateway.setMembers({members, proxyCount: 100});
   expect(told).toEqual(['films']);
 });
 
@@ -89,6 +89,6 @@
 it('tells of the number of proxies only where these share connections', () => {
   edge.gateway.setPoolers({poolers: makePoolers('books', ['p1', 'p2'])});
   told = [];
-  edge.gateway.setMembers({members: allMembers(), proxies: 101});
+  edge.gateway.setMembers({members: allMembers(), proxyCount: 101});
   expect(told).toEqual(['films', 'games']);
 });
--- a/src/services/gateway/test/node/gateway_session.test.ts
+++ b/src/services/gateway/test/node/gateway_session.test.ts
@@ -1,13 +1,13 @@
 import {afterEach, describe, expect, it, vi} from 'vitest';
 import {Consistency} from '../../../../schema/generated/fleet';
 import {MonotonicClock} from '../../../../base/node/monotonic_clock';
-import {LeadLeases} from '../../../lease/common/lead_leases';
-import {makeLead, renew} from '../../../lease/test/common/lease_fixture';
+import {PrimaryLeases} from '../../../lease/common/primary_leases';
+import {makeAssignment, renew} from '../../../lease/test/common/lease_fixture';
 import {FakeGroup} from './fake_group';
 import {
   BEGIN,
   BEGIN_READ,
-  Caller,
+  TestCaller,
   COMMIT,
   makeCatalog,
   makeRoute,
@@ -23,15 +23,15 @@
 function setUp(route = makeRoute(), over = {}) {
   const group = new FakeGroup(['a', 'b', 'c']);
   gateway = new TestGateway(group, makeCatalog([route], over));
-  return {group, caller: new Caller(gateway, 'db')};
+  return {group, caller: new TestCaller(gateway, 'db')};
 }
 
 /** A session at a gateway whose leases only the test renews. */
-function setUpLeased(leases: LeadLeases, route = makeRoute()) {
+function setUpLeased(leases: PrimaryLeases, route = makeRoute()) {
   const group = new FakeGroup(['a', 'b', 'c']);
   gateway = new TestGateway(group, makeCatalog([route]), {leases});
-  leases.onLeads([makeLead('a', 1)]);
-  return {group, caller: new Caller(gateway, 'db')};
+  leases.onAssignments([makeAssignment('a', 1)]);
+  return {group, caller: new TestCaller(gateway, 'db')};
 }
 
 const PRIMARY = {consistency: Consistency.CONSISTENCY_PRIMARY};
@@ -43,28 +43,28 @@
 describe('a session', () => {
   it('gets its member signature for reads and writes', async () => {
     const {caller} = setUp();
-    const written = await caller.ask(WRITE);
+    const written = await caller.send(WRITE);
     expect(written.result).toMatchObject({signature: 'signed q1'});
-    const read = await caller.ask(READ);
+    const read = await caller.send(READ);
     expect(read.result).toMatchObject({rows: ['row'], signature: 'signed q2'});
   });
 
   it('keeps a transaction on one connection, to its end', async () => {
     const {group, caller} = setUp();
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
-    const read = await caller.ask(READ);
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
+    const read = await caller.send(READ);
     expect(read.state).toBe('open');
-    const done = await caller.ask(COMMIT);
+    const done = await caller.send(COMMIT);
     expect(done).toMatchObject({state: 'idle', result: {kind: 'done'}});
-    const links = group.runs.map(({link}) => link);
+    const links = group.executed.map(({link}) => link);
     expect(new Set(links).size).toBe(1);
   });
 
   it('sends a commit of nothing to a member, whose signature counts', async () => {
     const {caller} = setUp();
-    await caller.ask(BEGIN);
-    const done = await caller.ask(COMMIT);
+    await caller.send(BEGIN);
+    const done = await caller.send(COMMIT);
     expect(done.result).toMatchObject({signature: 'signed q2'});
   });
 
@@ -72,25 +72,25 @@
     // Two callers share one connection. The second one must not run with the
     // value that the first one set, and the first one gets its own back.
     const {group, caller} = setUp();
-    group.mostConnections = 1;
-    const other = new Caller(gateway, 'db');
-    await caller.ask({kind: 'set', name: 'zone', value: '1'});
-    await caller.ask(WRITE);
-    await other.ask(WRITE);
-    await caller.ask(WRITE);
-    const values = group.runs.map(run => run.values);
+    group.maxConnections = 1;
+    const other = new TestCaller(gateway, 'db');
+    await caller.send({kind: 'set', name: 'zone', value: '1'});
+    await caller.send(WRITE);
+    await other.send(WRITE);
+    await caller.send(WRITE);
+    const values = group.executed.map(run => run.values);
     expect(values).toEqual(['zone=1', '', 'zone=1']);
   });
 
   it('keeps prepared names apart that two sessions both use', async () => {
     const {group, caller} = setUp();
-    const other = new Caller(gateway, 'db');
+    const other = new TestCaller(gateway, 'db');
     const prepare = {kind: 'prepare', name: 's1', shape: 'q'} as const;
-    await caller.ask({...prepare, action: 'write'});
-    await other.ask({...prepare, action: 'read'});
+    await caller.send({...prepare, action: 'write'});
+    await other.send({...prepare, action: 'read'});
     const execute = {kind: 'execute', name: 's1', item: 'a'} as const;
-    const written = await caller.ask({...execute, data: 'x'});
-    const read = await other.ask({...execute, data: undefined});
+    const written = await caller.send({...execute, data: 'x'});
+    const read = await other.send({...execute, data: undefined});
     expect(written.result).toMatchObject({kind: 'done', rows: []});
     expect(read.result).toMatchObject({kind: 'done', rows: ['row']});
     expect(group.member('a').position.offset).toBe(11);
@@ -100,24 +100,24 @@
     // A caller writes in a transaction and vanishes. Its connection must not
     // go to the next caller with the transaction still open.
     const {group, caller} = setUp();
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
     caller.leave();
     await pause(20);
-    const other = new Caller(gateway, 'db');
-    await other.ask(WRITE);
-    const [first, second] = group.runs;
+    const other = new TestCaller(gateway, 'db');
+    await other.send(WRITE);
+    const [first, second] = group.executed;
     expect(second!.link).not.toBe(first!.link);
   });
 
   it('ends a transaction that rests too long, as undone', async () => {
     const {caller} = setUp(makeRoute(), {transactionIdleMs: 30});
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
     await pause(60);
-    const late = await caller.ask(WRITE);
+    const late = await caller.send(WRITE);
     expect(late.result).toMatchObject({failure: 'aborted'});
-    const end = await caller.ask(ROLLBACK);
+    const end = await caller.send(ROLLBACK);
     expect(end).toMatchObject({state: 'idle', result: {kind: 'done'}});
   });
 });
@@ -128,14 +128,14 @@
     // still answers plain reads, without what was committed since. The proof
     // behind the read fails there, so the caller gets the new primary's data.
     const {group, caller} = setUp(makeRoute(PRIMARY));
-    await caller.ask(READ);
+    await caller.send(READ);
     group.promote('b');
-    const asking = caller.ask(READ);
+    const asking = caller.send(READ);
     await pause(20);
-    gateway.announce();
+    gateway.announceMembers();
     const read = await asking;
     expect(read.result.kind).toBe('done');
-    expect(group.callerRuns.at(-1)).toBe('b read a');
+    expect(group.callerStatements.at(-1)).toBe('b read a');
   });
 });
 
@@ -145,35 +145,35 @@
     for (const instance of ['b', 'c']) {
       group.member(instance).position = {term: 1, offset: 10};
     }
-    await caller.ask(READ);
-    await caller.ask(READ);
-    expect(group.callerRuns.at(-1)).toMatch(/^[bc] read a$/);
+    await caller.send(READ);
+    await caller.send(READ);
+    expect(group.callerStatements.at(-1)).toMatch(/^[bc] read a$/);
   });
 
   it("never misses the session's own commit", async () => {
     // Replicas receive nothing. The session writes and reads at once: each
     // replica says that it lacks the position, and the primary answers.
     const {group, caller} = setUp();
-    await caller.ask(WRITE);
-    const read = await caller.ask(READ);
+    await caller.send(WRITE);
+    const read = await caller.send(READ);
     expect(read.result.kind).toBe('done');
-    expect(group.callerRuns.at(-1)).toBe('a read a');
+    expect(group.callerStatements.at(-1)).toBe('a read a');
   });
 
   it('begins at a replica with the position too', async () => {
     const {group, caller} = setUp();
-    await caller.ask(READ);
-    await caller.ask(BEGIN_READ);
-    await caller.ask(READ);
-    await caller.ask(COMMIT);
-    expect(group.callerRuns.at(-1)).toMatch(/^[bc] commit$/);
+    await caller.send(READ);
+    await caller.send(BEGIN_READ);
+    await caller.send(READ);
+    await caller.send(COMMIT);
+    expect(group.callerStatements.at(-1)).toMatch(/^[bc] commit$/);
   });
 
   it('is repeated elsewhere when its answer is lost', async () => {
     const {group, caller} = setUp();
-    await caller.ask(READ);
+    await caller.send(READ);
     for (const instance of ['b', 'c']) group.member(instance).isSilent = true;
-    const read = await caller.ask(READ);
+    const read = await caller.send(READ);
     expect(read.result.kind).toBe('done');
   });
 });
@@ -184,13 +184,13 @@
     // read's time ended with the session: the connection, one of a few that
     // all instances share, was held until the member broke it.
     const {group, caller} = setUp(makeRoute({...PRIMARY, statementMs: 100}));
-    await caller.ask(READ);
+    await caller.send(READ);
     group.member('a').isSilent = true;
-    void caller.ask(READ);
+    void caller.send(READ);
     await pause(20);
     caller.leave();
     await pause(150);
-    expect(group.member('a').closes).toBeGreaterThan(0);
+    expect(group.member('a').closeCount).toBeGreaterThan(0);
   });
 });
 
@@ -199,46 +199,47 @@
     // The member commits and its answer is lost. Whether the write took effect
     // is unknown: sending it again could double it.
     const {group, caller} = setUp(makeRoute({statementMs: 100}));
-    group.member('a').losesAnswers = 1;
-    const written = await caller.ask(WRITE);
+    group.member('a').answersToLose = 1;
+    const written = await caller.send(WRITE);
     expect(written.result).toMatchObject({failure: 'unknown outcome'});
-    expect(group.callerRuns).toEqual(['a write a']);
+    expect(group.callerStatements).toEqual(['a write a']);
   });
 
   it('gives its connection up in time where its caller has left', async () => {
     // A caller leaves while its write waits for a member that never answers.
     // Without a bound the connection, one of a few, is held for good.
     const {group, caller} = setUp(makeRoute({statementMs: 100}));
-    await caller.ask(WRITE);
-    group.member('a').losesAnswers = 1;
-    void caller.ask(WRITE);
-    const isLost = () => expect(group.callerRuns).toHaveLength(2);
+    await caller.send(WRITE);
+    group.member('a').answersToLose = 1;
+    void caller.send(WRITE);
+    const isLost = () => expect(group.callerStatements).toHaveLength(2);
     await vi.waitFor(isLost);
-    const {link} = group.runs.at(-1)!;
+    const {link} = group.executed.at(-1)!;
     caller.leave();
-    expect(group.member('a').closed).not.toContain(link);
-    const isClosed = () => expect(group.member('a').closed).toContain(link);
+    expect(group.member('a').closedLinks).not.toContain(link);
+    const isClosed = () =>
+      expect(group.member('a').closedLinks).toContain(link);
     await vi.waitFor(isClosed, 1_000);
   });
 
   it('is repeated when the member says that it did not run', async () => {
     const {group, caller} = setUp();
-    group.member('a').busyFor = 2;
-    const written = await caller.ask(WRITE);
+    group.member('a').busyAnswers = 2;
+    const written = await caller.send(WRITE);
     expect(written.result.kind).toBe('done');
-    expect(group.callerRuns).toEqual(['a write a']);
+    expect(group.callerStatements).toEqual(['a write a']);
   });
 
   it('is refused at once, as not run, while no primary answers', async () => {
     // The primary is gone and nobody leads. Waiting for the deadline would
     // only use up the caller's time: it hears soon when to come back.
     const {group, caller} = setUp();
-    await caller.ask(WRITE);
+    await caller.send(WRITE);
     group.member('a').isDown = true;
     const startedAt = Date.now();
-    const lost = await caller.ask(WRITE);
+    const lost = await caller.send(WRITE);
     expect(lost.result).toMatchObject({failure: 'unknown outcome'});
-    const refused = await caller.ask(WRITE);
+    const refused = await caller.send(WRITE);
     expect(refused.result).toMatchObject({failure: 'busy'});
     expect(JSON.stringify(refused.result)).toContain('retry after');
     expect(Date.now() - startedAt).toBeLessThan(500);
@@ -247,29 +248,29 @@
 
   it('goes on with the member that leads next', async () => {
     const {group, caller} = setUp();
-    await caller.ask(WRITE);
+    await caller.send(WRITE);
     group.promote('b');
-    const asking = caller.ask(WRITE);
+    const asking = caller.send(WRITE);
     await pause(20);
-    gateway.announce();
+    gateway.announceMembers();
     const written = await asking;
     expect(written.result.kind).toBe('done');
-    expect(group.callerRuns).toEqual(['a write a', 'b write a']);
+    expect(group.callerStatements).toEqual(['a write a', 'b write a']);
   });
 });
 
 describe('a transaction whose member is lost', () => {
   it('is undone before its commit, and the caller is told so', async () => {
     const {group, caller} = setUp();
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
     group.member('a').isDown = true;
-    const lost = await caller.ask(WRITE);
+    const lost = await caller.send(WRITE);
     expect(lost).toMatchObject({
       state: 'failed',
       result: {failure: 'aborted'},
     });
-    const end = await caller.ask(COMMIT);
+    const end = await caller.send(COMMIT);
     expect(end).toMatchObject({state: 'idle', result: {failure: 'aborted'}});
   });
 
@@ -277,10 +278,10 @@
     // The commit takes effect and its answer is lost. "Aborted" would be a
     // promise that nothing is kept, and the caller would file twice.
     const {group, caller} = setUp(makeRoute({statementMs: 100}));
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
-    group.member('a').losesAnswers = 1;
-    const end = await caller.ask(COMMIT);
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
+    group.member('a').answersToLose = 1;
+    const end = await caller.send(COMMIT);
     expect(end).toMatchObject({
       state: 'idle',
       result: {failure: 'unknown outcome'},
@@ -294,14 +295,14 @@
     // to it. A caller connects and asks at once, and its connection was closed
     // with the request on the way: it heard nothing, and had to guess.
     setUp();
-    gateway.gateway.announceStop();
-    const early = new Caller(gateway, 'db');
+    gateway.gateway.markNotReady();
+    const early = new TestCaller(gateway, 'db');
     gateway.gateway.drain();
-    const late = new Caller(gateway, 'db');
+    const late = new TestCaller(gateway, 'db');
     await pause(10);
     expect([early.isClosed, late.isClosed]).toEqual([false, false]);
-    expect((await late.ask(WRITE)).result.kind).toBe('done');
-    expect((await early.ask(WRITE)).result.kind).toBe('done');
+    expect((await late.send(WRITE)).result.kind).toBe('done');
+    expect((await early.send(WRITE)).result.kind).toBe('done');
     await pause(10);
     expect([early.isClosed, late.isClosed]).toEqual([true, true]);
   });
@@ -312,9 +313,9 @@
     const {caller} = setUp();
     gateway.gateway.drain();
     const prepare = {kind: 'prepare', name: 's', shape: 'q'} as const;
-    await caller.ask({...prepare, action: 'write'});
+    await caller.send({...prepare, action: 'write'});
     const execute = {kind: 'execute', name: 's', item: 'a'} as const;
-    const done = await caller.ask({...execute, data: 'x'});
+    const done = await caller.send({...execute, data: 'x'});
     expect(done.result.kind).toBe('done');
     await pause(10);
     expect(caller.isClosed).toBe(true);
@@ -322,14 +323,14 @@
 
   it('closes a session at rest, and one in a transaction after it', async () => {
     const {caller} = setUp();
-    const busy = new Caller(gateway, 'db');
-    await caller.ask(WRITE);
-    await busy.ask(BEGIN);
+    const busy = new TestCaller(gateway, 'db');
+    await caller.send(WRITE);
+    await busy.send(BEGIN);
     gateway.gateway.drain();
     await pause(10);
     expect([caller.isClosed, busy.isClosed]).toEqual([true, false]);
-    await busy.ask(WRITE);
-    const done = await busy.ask(COMMIT);
+    await busy.send(WRITE);
+    const done = await busy.send(COMMIT);
     expect(done.result.kind).toBe('done');
     await pause(10);
     expect(busy.isClosed).toBe(true);
@@ -342,16 +343,18 @@
     // still rely on the old primary, so a write here would be acknowledged
     // beside its own. With control's word the write that waited goes through.
     const {group, caller} = setUp();
-    await caller.ask(WRITE);
+    await caller.send(WRITE);
     group.promote('b');
-    const written = caller.ask(WRITE);
+    const written = caller.send(WRITE);
     await pause(250);
-    expect(group.callerRuns.filter(run => run.startsWith('b'))).toEqual([]);
+    expect(group.callerStatements.filter(run => run.startsWith('b'))).toEqual(
+      [],
+    );
     const named = Date.now();
-    gateway.announce();
+    gateway.announceMembers();
     expect((await written).result.kind).toBe('done');
     expect(Date.now() - named).toBeLessThan(300);
-    expect(group.runs.at(-1)!.instance).toBe('b');
+    expect(group.executed.at(-1)!.instance).toBe('b');
   });
 
   it('is not read from once its lease was returned', async () => {
@@ -359,36 +362,36 @@
     // this proxy. It accepts every statement. Another member leads, commits a
     // booking, and the old one would show a boat that is gone.
     const {group, caller} = setUp(makeRoute(PRIMARY));
-    await caller.ask(READ);
-    gateway.name('');
-    group.promoteBesides('b');
-    const read = caller.ask(READ);
+    await caller.send(READ);
+    gateway.setPrimary('');
+    group.promoteWithoutDemoting('b');
+    const read = caller.send(READ);
     await pause(50);
-    gateway.name('b');
+    gateway.setPrimary('b');
     expect((await read).result.kind).toBe('done');
-    expect(group.callerRuns.at(-1)).toBe('b read a');
+    expect(group.callerStatements.at(-1)).toBe('b read a');
   });
 
   it('acknowledges nothing once its lease ran out', async () => {
     // This proxy was frozen, or control has no leader: nobody renews leases.
     // Control may have ordered a promotion, and what the old primary commits
     // may be rolled back. Saying that it is kept would lose a booking.
-    const leases = new LeadLeases(new MonotonicClock());
+    const leases = new PrimaryLeases(new MonotonicClock());
     const route = makeRoute({...PRIMARY, statementMs: 300});
     const {group, caller} = setUpLeased(leases, route);
-    const written = await caller.ask(WRITE);
+    const written = await caller.send(WRITE);
     expect(written.result).toMatchObject({failure: 'unknown outcome'});
-    const read = await caller.ask(READ);
+    const read = await caller.send(READ);
     expect(read.result).toMatchObject({failure: 'timeout'});
-    expect(group.callerRuns).toContain('a write a');
+    expect(group.callerStatements).toContain('a write a');
   });
 
   it('answers what waited for a lease that ran out', async () => {
     // Control elects a leader for longer than a lease lasts, and names the
     // same lead again. What ran meanwhile is as good as before.
-    const leases = new LeadLeases(new MonotonicClock());
+    const leases = new PrimaryLeases(new MonotonicClock());
     const {caller} = setUpLeased(leases, makeRoute(PRIMARY));
-    const written = caller.ask(WRITE);
+    const written = caller.send(WRITE);
     await pause(100);
     renew(leases);
     expect((await written).result.kind).toBe('done');
@@ -403,7 +406,7 @@
   const LAPSED_MS = 1_700;
 
   function setUpLost() {
-    const leases = new LeadLeases(new MonotonicClock());
+    const leases = new PrimaryLeases(new MonotonicClock());
     const {group, caller} = setUpLeased(leases, makeRoute(PRIMARY));
     renew(leases);
     return {group, caller};
@@ -412,22 +415,22 @@
   it('serves what the members prove', async () => {
     const {caller} = setUpLost();
     await pause(LAPSED_MS);
-    expect((await caller.ask(READ)).result.kind).toBe('done');
-    expect((await caller.ask(WRITE)).result.kind).toBe('done');
+    expect((await caller.send(READ)).result.kind).toBe('done');
+    expect((await caller.send(WRITE)).result.kind).toBe('done');
   });
 
   it('gives no answer of a primary that was replaced meanwhile', async () => {
     const {group, caller} = setUpLost();
-    group.promoteBesides('b');
+    group.promoteWithoutDemoting('b');
     await pause(LAPSED_MS);
-    expect((await caller.ask(READ)).result.kind).toBe('error');
+    expect((await caller.send(READ)).result.kind).toBe('error');
   });
 
   it('gives none while a member that may lead is silent', async () => {
     const {group, caller} = setUpLost();
     group.member('c').isSilent = true;
     await pause(LAPSED_MS);
-    expect((await caller.ask(READ)).result.kind).toBe('error');
+    expect((await caller.send(READ)).result.kind).toBe('error');
   });
 });
 
@@ -439,17 +442,17 @@
     const {group} = setUp(makeRoute(PRIMARY), {
       services: [{service: 'books', connections: 32, confirmations: 1}],
     });
-    group.mostConnections = 32;
-    gateway.gateway.setMembers({members: membersOf(group), proxies: 6});
-    const callers = [...Array(12)].map(() => new Caller(gateway, 'db'));
+    group.maxConnections = 32;
+    gateway.gateway.setMembers({members: membersOf(group), proxyCount: 6});
+    const callers = [...Array(12)].map(() => new TestCaller(gateway, 'db'));
     // Right after a start an instance takes less.
     await pause(1_600);
     for (const caller of callers) {
-      void caller.ask(BEGIN);
-      void caller.ask(WRITE);
+      void caller.send(BEGIN);
+      void caller.send(WRITE);
     }
     await pause(150);
-    expect(group.member('a').connections).toBe(7);
+    expect(group.member('a').connectionCount).toBe(7);
   });
 
   it('are taken by half of a share right after a start', async () => {
@@ -459,14 +462,14 @@
     const {group} = setUp(makeRoute(PRIMARY), {
       services: [{service: 'books', connections: 32, confirmations: 1}],
     });
-    group.mostConnections = 32;
-    gateway.gateway.setMembers({members: membersOf(group), proxies: 6});
-    const callers = [...Array(12)].map(() => new Caller(gateway, 'db'));
+    group.maxConnections = 32;
+    gateway.gateway.setMembers({members: membersOf(group), proxyCount: 6});
+    const callers = [...Array(12)].map(() => new TestCaller(gateway, 'db'));
     for (const caller of callers) {
-      void caller.ask(BEGIN);
-      void caller.ask(WRITE);
+      void caller.send(BEGIN);
+      void caller.send(WRITE);
     }
     await pause(150);
-    expect(group.member('a').connections).toBe(2);
+    expect(group.member('a').connectionCount).toBe(2);
   });
 });
--- a/src/services/gateway/test/node/repeats.test.ts
+++ b/src/services/gateway/test/node/repeats.test.ts
@@ -2,8 +2,8 @@
 import {ManualClock} from '../../../../base/common/clock';
 import {ClassAdmission} from '../../../admission/common/class_admission';
 import {GatewayMeter} from '../../node/gateway_meter';
-import {RequestJournal} from '../../node/request_journal';
-import {mayRepeat} from '../../node/session_context';
+import {RequestTelemetry} from '../../node/request_telemetry';
+import {canRetry} from '../../node/session_context';
 import {makeLog} from './session_fixture';
 
 describe('a repeat by class', () => {
@@ -14,9 +14,9 @@
     const classes = new ClassAdmission(new ManualClock());
     classes.setRoutes([0, 2].map(priority => ({service: 'books', priority})));
     const {log, lines} = makeLog();
-    const journal = new RequestJournal(log, new GatewayMeter());
+    const journal = new RequestTelemetry(log, new GatewayMeter());
     const tryAgain = (cause: string) => {
-      return mayRepeat({classes, journal}, 'q1', 'books', cause);
+      return canRetry({classes, telemetry: journal}, 'q1', 'books', cause);
     };
     while (tryAgain('busy'));
     expect(lines).toHaveLength(1);
--- a/src/services/gateway/test/node/session_fixture.ts
+++ b/src/services/gateway/test/node/session_fixture.ts
@@ -8,17 +8,17 @@
   type Member,
 } from '../../../../schema/generated/fleet';
 import {
-  makeLead,
+  makeAssignment,
   makeRenewedLeases,
   renew,
 } from '../../../lease/test/common/lease_fixture';
 import type {CallerReply, Statement} from '../../../statement/common/statement';
 import {CatalogLease} from '../../../account/common/catalog_lease';
 import {NO_LIMITS} from './fake_limits';
-import {Gateway, type GatewaySurroundings} from '../../node/gateway';
-import {ConnectionRoom} from '../../../room/common/connection_room';
+import {Gateway, type GatewayDependencies} from '../../node/gateway';
+import {ConnectionQuota} from '../../../connection_quota/common/connection_quota';
 import {GatewayMeter} from '../../node/gateway_meter';
-import {LOCAL_RUNNER} from '../../node/work_runner';
+import {LOCAL_RUNNER} from '../../node/statement_runner';
 import type {FakeGroup} from './fake_group';
 
 /** How long withdrawn keys may be in use at a test gateway, in ms. */
@@ -82,7 +82,7 @@
 }
 
 /** One caller's session at a gateway. */
-export class Caller {
+export class TestCaller {
   private readonly waiting: ((reply: CallerReply) => void)[] = [];
   private readonly ended = new AbortController();
   private readonly session;
@@ -113,7 +113,7 @@
   }
 
   /** Sends a statement and waits for its answer. */
-  ask(statement: Statement): Promise<CallerReply> {
+  send(statement: Statement): Promise<CallerReply> {
     const requestId = `q${++this.requests}`;
     const receivedAt = this.gateway.clock.now();
     this.session.post({
@@ -134,18 +134,18 @@
   readonly clock = new SuspensionClock(new MonotonicClock(), () => Date.now());
   readonly stop = new AbortController();
   readonly gateway: Gateway;
-  readonly logged = makeLog();
+  readonly captured = makeLog();
   readonly reports: string[] = [];
   /** Needed where the catalog has accounts only; their tests bring their own. */
   readonly catalogLease = new CatalogLease(REVOCATION_MS, this.clock);
-  readonly room = new ConnectionRoom(this.clock);
+  readonly room = new ConnectionQuota(this.clock);
   readonly leases = makeRenewedLeases(this.clock, this.stop.signal);
   private epoch = 0;
 
   constructor(
     readonly group: FakeGroup,
     catalog: Catalog,
-    over: Partial<GatewaySurroundings> = {},
+    over: Partial<GatewayDependencies> = {},
   ) {
     this.gateway = new Gateway(
       {
@@ -156,40 +156,40 @@
         leases: this.leases,
         catalogLease: this.catalogLease,
         limits: NO_LIMITS,
-        room: this.room,
+        connectionQuota: this.room,
         clock: this.clock,
-        log: this.logged.log,
+        log: this.captured.log,
         meter: new GatewayMeter(),
         instance: 'proxy-1',
         pooledRunner: LOCAL_RUNNER,
-        onDidJudgePrimary: ({instance, trouble}) => {
+        onDidAssessPrimary: ({instance, trouble}) => {
           this.reports.push(`${instance} ${trouble}`);
         },
         ...over,
       },
       this.stop.signal,
     );
-    this.announce();
+    this.announceMembers();
     this.gateway.setCatalog(catalog);
   }
 
   /** Tells the gateway anew who the members are, and which one leads. */
-  announce(): void {
-    this.gateway.setMembers({members: membersOf(this.group), proxies: 1});
+  announceMembers(): void {
+    this.gateway.setMembers({members: membersOf(this.group), proxyCount: 1});
     const leading = membersOf(this.group).find(({role}) => {
       return role === ClaimedRole.CLAIMED_ROLE_PRIMARY;
     });
-    if (leading) this.name(leading.instance);
+    if (leading) this.setPrimary(leading.instance);
   }
 
   /** Control names a lead, '' for none, and grants leases on it. */
-  name(instance: string): void {
-    const lead = makeLead(
+  setPrimary(instance: string): void {
+    const lead = makeAssignment(
       instance,
       instance === '' ? this.epoch : ++this.epoch,
     );
-    this.leases.onLeads([lead]);
-    this.gateway.setLeads([lead]);
+    this.leases.onAssignments([lead]);
+    this.gateway.setPrimaryAssignments([lead]);
     renew(this.leases);
   }
 }
--- a/src/services/instance/common/instance_settings.ts
+++ b/src/services/instance/common/instance_settings.ts
@@ -1,8 +1,8 @@
 import {err, ok, type Result} from '../../../base/common/outcome';
-import type {LimitPrecision} from '../../account/common/enforcement';
-import type {InstanceCapacity} from '../../room/common/capacity';
-import {readIni} from '../../settings/common/ini_file';
-import type {SettingsFault} from '../../settings/common/settings';
+import type {LimitPrecision} from '../../account/common/limit_precision';
+import type {InstanceCapacity} from '../../connection_quota/common/capacity';
+import {parseIni} from '../../settings/common/ini_file';
+import type {SettingsError} from '../../settings/common/settings';
 
 /** What one process of a fleet learns from its settings file. */
 export interface InstanceSettings {
@@ -13,24 +13,24 @@
   /** Port for the exchange between instances. */
   readonly internalPort: number;
   /** Address for callers; '' where none are served. */
-  readonly callers: string;
-  readonly readiness: string;
+  readonly callersAddress: string;
+  readonly readinessAddress: string;
   /** Address for operators and members; '' where none are served. */
-  readonly operators: string;
+  readonly operatorsAddress: string;
   /** Data folder; '' without a disk. */
-  readonly data: string;
+  readonly dataFolder: string;
   /** Addresses for operators of some control instances. */
-  readonly seeds: readonly string[];
+  readonly seedAddresses: readonly string[];
   /** The whole system starts for the first time. */
-  readonly bootstrap: boolean;
+  readonly isBootstrap: boolean;
   /** Control instances that may be lost at once. */
-  readonly losses: number;
+  readonly toleratedControlLosses: number;
   /** From the order to stop to the forced end, in milliseconds. */
-  readonly graceMs: number;
+  readonly shutdownGraceMs: number;
   /** Address of whoever carries promotions out; '' without one. */
-  readonly promotions: string;
+  readonly promotionAuthorityAddress: string;
   /** Whether it refuses an order with a lower token than one it has seen. */
-  readonly fencedOrders: boolean;
+  readonly isPromotionFenced: boolean;
   /**
    * How long after its withdrawal a key may be in use anywhere, in
    * milliseconds; 0 where that is not promised for instances without control.
@@ -41,7 +41,7 @@
   /** Processor time and link; 0 where they are not known. */
   readonly capacity: InstanceCapacity;
   /** The region of each site. */
-  readonly regions: ReadonlyMap<string, string>;
+  readonly regionBySite: ReadonlyMap<string, string>;
 }
 
 type Entries = ReadonlyMap<string, string>;
@@ -50,9 +50,9 @@
 export function readInstanceSettings(
   file: string,
   text: string,
-): Result<InstanceSettings, readonly SettingsFault[]> {
-  const faults: SettingsFault[] = [];
-  const ini = readIni(file, text, faults);
+): Result<InstanceSettings, readonly SettingsError[]> {
+  const faults: SettingsError[] = [];
+  const ini = parseIni(file, text, faults);
   const own = new Map<string, string>();
   const regions = new Map<string, string>();
   for (const {section, key, value} of ini.entries) {
@@ -77,18 +77,18 @@
     region: textOf(own, 'region'),
     ip: textOf(own, 'ip'),
     internalPort: numberOf('internal_port', 1),
-    callers: textOf(own, 'callers'),
-    readiness: textOf(own, 'readiness'),
-    operators: textOf(own, 'operators'),
-    data: textOf(own, 'data'),
-    seeds: textOf(own, 'seeds')
+    callersAddress: textOf(own, 'callers'),
+    readinessAddress: textOf(own, 'readiness'),
+    operatorsAddress: textOf(own, 'operators'),
+    dataFolder: textOf(own, 'data'),
+    seedAddresses: textOf(own, 'seeds')
       .split(',')
       .filter(seed => seed !== ''),
-    bootstrap: textOf(own, 'bootstrap') === 'true',
-    losses: numberOf('losses', 0),
-    graceMs: numberOf('grace_s', 1) * 1_000,
-    promotions: textOf(own, 'promotions'),
-    fencedOrders: textOf(own, 'promotions_fenced') === 'true',
+    isBootstrap: textOf(own, 'bootstrap') === 'true',
+    toleratedControlLosses: numberOf('losses', 0),
+    shutdownGraceMs: numberOf('grace_s', 1) * 1_000,
+    promotionAuthorityAddress: textOf(own, 'promotions'),
+    isPromotionFenced: textOf(own, 'promotions_fenced') === 'true',
     revocationMs: isRevocationBound ? numberOf('revocation_ms', 1) : 0,
     limitPrecision: {
       windowMs: numberOr('limit_window_s', 0) * 1_000,
@@ -99,7 +99,7 @@
       cores: numberOr('capacity_cores', 0),
       linkMbps: numberOr('capacity_link_mbps', 0),
     },
-    regions,
+    regionBySite: regions,
   };
   return faults.length > 0 ? err(faults) : ok(settings);
 }
@@ -112,7 +112,7 @@
   entries: Entries,
   key: string,
   file: string,
-  faults: SettingsFault[],
+  faults: SettingsError[],
 ): void {
   if (textOf(entries, key) !== '') return;
   faults.push({file, line: 0, key, found: 'nothing', allowed: 'a text'});
--- a/src/services/instance/node/settings_watch.ts
+++ b/src/services/instance/node/settings_watch.ts
@@ -2,7 +2,7 @@
 import {every} from '../../../base/node/timers';
 import {err, type Result} from '../../../base/common/outcome';
 import {toError} from '../../../base/node/task';
-import type {SettingsFault} from '../../settings/common/settings';
+import type {SettingsError} from '../../settings/common/settings';
 import {
   readInstanceSettings,
   type InstanceSettings,
@@ -14,7 +14,7 @@
 /** Reads the settings file of an instance. */
 export function loadInstanceSettings(
   file: string,
-): Result<InstanceSettings, readonly SettingsFault[]> {
+): Result<InstanceSettings, readonly SettingsError[]> {
   try {
     return readInstanceSettings(file, readFileSync(file, 'utf8'));
   } catch (thrown) {
@@ -28,13 +28,13 @@
   file: string,
   signal: AbortSignal,
   onDidChange: (settings: InstanceSettings) => void,
-  onDidFail: (faults: readonly SettingsFault[]) => void,
+  onDidFail: (faults: readonly SettingsError[]) => void,
 ): void {
   let last = '';
   const look = () => {
     const loaded = loadInstanceSettings(file);
     if (loaded.isErr) return onDidFail(loaded.error);
-    const text = JSON.stringify([loaded.value, [...loaded.value.regions]]);
+    const text = JSON.stringify([loaded.value, [...loaded.value.regionBySite]]);
     if (text === last) return;
     const isFirst = last === '';
     last = text;
--- a/src/services/lease/common/lease_end.ts
+++ b/src/services/lease/common/lease_expiry.ts
@@ -1,5 +1,5 @@
 /** What the grantor of leases knows of one holder. */
-export interface LeaseHolding {
+export interface LeaseHolderState {
   /** When a lease was last granted, on the grantor's clock. */
   readonly lastGrantAt: number;
   /** The holder's word that it relies on no lease below this number. */
@@ -9,21 +9,21 @@
 /** The time by which leases of earlier grantors are over, and how long they last. */
 export interface LeaseBounds {
   /** When this grantor began; an earlier one granted nothing after it. */
-  readonly since: number;
+  readonly leaderSince: number;
   /** The longest that a lease lasts on the grantor's clock, in ms. */
-  readonly boundMs: number;
+  readonly maxLeaseMs: number;
 }
 
 /**
  * Whether a holder can rely no more on the leases below a number: by its own
  * word, or because the last one that anybody granted it has run out.
  */
-export function isLeaseOver(
-  {handedBackBelow, lastGrantAt}: LeaseHolding,
+export function hasLeaseEnded(
+  {handedBackBelow, lastGrantAt}: LeaseHolderState,
   below: number,
-  {since, boundMs}: LeaseBounds,
+  {leaderSince, maxLeaseMs}: LeaseBounds,
   now: number,
 ): boolean {
   if (handedBackBelow >= below) return true;
-  return now >= Math.max(lastGrantAt, since) + boundMs;
+  return now >= Math.max(lastGrantAt, leaderSince) + maxLeaseMs;
 }
--- a/src/services/lease/common/lease_holders.ts
+++ b/src/services/lease/common/lease_holders.ts
@@ -1,5 +1,5 @@
-import {LEASE_MS} from './lead_leases';
-import {isLeaseOver} from './lease_end';
+import {LEASE_MS} from './primary_leases';
+import {hasLeaseEnded} from './lease_expiry';
 
 /**
  * A lease runs from the proxy's question, so it ends on control's clock before
@@ -37,7 +37,7 @@
   }
 
   /** Whether some proxy has given up an epoch. */
-  isSpent(service: string, epoch: number): boolean {
+  hasReturned(service: string, epoch: number): boolean {
     return [...this.holders.values()].some(({handedBackBelow}) => {
       return (handedBackBelow.get(service) ?? 0) > epoch;
     });
@@ -47,16 +47,16 @@
    * Who may still rely on an epoch; 'earlier holders' stands for those that
    * this leader has not heard of.
    */
-  relyingOn(service: string, epoch: number, now: number): string[] {
+  holdersOf(service: string, epoch: number, now: number): string[] {
     const {since} = this;
-    const bounds = {since, boundMs: LEASE_BOUND_MS};
+    const bounds = {leaderSince: since, maxLeaseMs: LEASE_BOUND_MS};
     // Before this leader told of a lead, it granted no lease on it.
     const granted = epoch > 0 ? [...this.holders] : [];
     const relying = granted
       .filter(([, {lastGrantAt, handedBackBelow}]) => {
         const below = handedBackBelow.get(service) ?? 0;
         const holding = {lastGrantAt, handedBackBelow: below};
-        return !isLeaseOver(holding, epoch + 1, bounds, now);
+        return !hasLeaseEnded(holding, epoch + 1, bounds, now);
       })
       .map(([proxy]) => proxy);
     if (now < since + LEASE_BOUND_MS) relying.push('earlier holders');
--- a/src/services/lease/common/lease_registry.ts
+++ b/src/services/lease/common/lease_registry.ts
@@ -28,7 +28,7 @@
 }
 
 /** How long a primary must give no sign before a proxy's report counts. */
-export interface ReportLimits {
+export interface ReportThresholds {
   readonly silenceMs: number;
   readonly unconfirmedMs: number;
 }
@@ -41,10 +41,10 @@
 export class LeaseRegistry {
   private readonly proxies = new Map<string, ProxyState>();
 
-  constructor(private readonly limits: ReportLimits) {}
+  constructor(private readonly limits: ReportThresholds) {}
 
   /** Takes in what a proxy says with its question for a lease. */
-  onAsk(proxy: ProxyRecord, ask: LeaseRequest, now: number): void {
+  onRequest(proxy: ProxyRecord, ask: LeaseRequest, now: number): void {
     const state = this.stateOf(proxy);
     state.attached = true;
     state.heardAt = now;
@@ -57,7 +57,7 @@
     state.reports = this.reportsOf(ask);
   }
 
-  onGrant(proxy: ProxyRecord, now: number): void {
+  onGranted(proxy: ProxyRecord, now: number): void {
     this.stateOf(proxy).lastGrantAt = now;
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** When a proxy was last heard of, -Infinity for never. */
-  heardAt(proxy: ProxyRecord): number {
+  lastHeardAt(proxy: ProxyRecord): number {
     return this.proxies.get(proxyName(proxy))?.heardAt ?? -Infinity;
   }
 
--- a/src/services/lease/common/lead_leases.ts
+++ b/src/services/lease/common/primary_leases.ts
@@ -14,10 +14,10 @@
 export const LEASE_MS = 1_200;
 
 /** Leases are renewed this often, in ms: two questions may be lost. */
-export const RENEW_EVERY_MS = 400;
+export const RENEWAL_INTERVAL_MS = 400;
 
 /** Whether a member can have been replaced. */
-export interface LeadProofs {
+export interface LeaseChecks {
   /** Whether no order to replace the lead of an epoch can have gone out yet. */
   isHeld(service: string, epoch: number): boolean;
   /**
@@ -25,7 +25,7 @@
    *
    * @param term The term of the member's log when it answered, if it said so.
    */
-  confirm(
+  waitUntilHeld(
     service: string,
     epoch: number,
     timeMs: number,
@@ -36,7 +36,7 @@
    * while it is held, Infinity where there never was one or another lead is
    * known.
    */
-  lapsedMs(service: string, epoch: number): number;
+  expiredForMs(service: string, epoch: number): number;
 }
 
 interface Lead {
@@ -61,7 +61,7 @@
  * after the answer came. Control orders no promotion before every such lease
  * was returned or has run out.
  */
-export class LeadLeases implements LeadProofs {
+export class PrimaryLeases implements LeaseChecks {
   private readonly leads = new Map<string, Lead>();
   private readonly asked = new Map<number, number>();
   private readonly waiters = new Set<Waiter>();
@@ -70,7 +70,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** Notes a question for leases that goes out now; its number. */
-  ask(): number {
+  beginRenewal(): number {
     const number = ++this.lastNumber;
     this.asked.set(number, this.clock.now());
     return number;
@@ -92,7 +92,7 @@
   }
 
   /** Takes changes of leads; the leases that are to be returned for them. */
-  onLeads(leads: readonly PrimaryAssignment[]): ReturnLease[] {
+  onAssignments(leads: readonly PrimaryAssignment[]): ReturnLease[] {
     const returned = leads.filter(lead => !this.take(lead));
     this.settleWaiters();
     return returned.map(({service, epoch}) => ({service, epoch}));
@@ -113,12 +113,16 @@
     return lead?.lease.isHeld(epoch, this.clock.now()) ?? false;
   }
 
-  lapsedMs(service: string, epoch: number): number {
+  expiredForMs(service: string, epoch: number): number {
     const lead = this.leads.get(service);
-    return lead?.lease.lapsedMs(epoch, this.clock.now()) ?? Infinity;
+    return lead?.lease.expiredForMs(epoch, this.clock.now()) ?? Infinity;
   }
 
-  confirm(service: string, epoch: number, timeMs: number): Promise<boolean> {
+  waitUntilHeld(
+    service: string,
+    epoch: number,
+    timeMs: number,
+  ): Promise<boolean> {
     if (this.isHeld(service, epoch)) return Promise.resolve(true);
     if (this.isOver(service, epoch)) return Promise.resolve(false);
     return new Promise(resolve => {
@@ -138,7 +142,7 @@
     const lead = this.leads.get(service) ?? this.track(service);
     const {lease} = lead;
     const isNamed = instance !== '' && epoch >= lease.term;
-    lease.giveUpBelow(instance === '' ? epoch + 1 : epoch);
+    lease.returnBelow(instance === '' ? epoch + 1 : epoch);
     lead.isTold = isNamed;
     return isNamed;
   }
--- a/src/services/lease/common/lead_board.ts
+++ b/src/services/lease/common/published_primaries.ts
@@ -6,7 +6,7 @@
 }
 
 /** Who leads which service, as the leader of control tells its proxies. */
-export class LeadBoard {
+export class PublishedPrimaries {
   private readonly notices = new Map<string, Notice>();
   private changes = 0;
 
@@ -16,7 +16,7 @@
   }
 
   /** What changed after a revision. */
-  since(revision: number): PrimaryAssignment[] {
+  changedSince(revision: number): PrimaryAssignment[] {
     if (revision === this.changes) return [];
     return [...this.notices.values()]
       .filter(notice => notice.revision > revision)
@@ -31,12 +31,12 @@
    * by the time it was asked behind the read, and the read was of a log that
    * it had not applied.
    */
-  name(lead: PrimaryAssignment): void {
-    if (!lead.pending) this.confirm(lead);
+  offer(lead: PrimaryAssignment): void {
+    if (!lead.pending) this.publish(lead);
   }
 
   /** Takes a lead of the control log whose member was seen to lead. */
-  confirm(lead: PrimaryAssignment): void {
+  publish(lead: PrimaryAssignment): void {
     const known = this.notices.get(lead.service)?.lead;
     if (!known || lead.epoch > known.epoch) this.put(lead);
   }
--- a/src/services/lease/common/term_lease.ts
+++ b/src/services/lease/common/term_lease.ts
@@ -38,18 +38,18 @@
   }
 
   /** Gives up every lease on a term below this one, for good. */
-  giveUpBelow(term: number): void {
+  returnBelow(term: number): void {
     if (term <= this.held) return;
     this.held = term;
     this.expiresAt = -Infinity;
   }
 
   isHeld(term: number, now: number): boolean {
-    return this.lapsedMs(term, now) < 0;
+    return this.expiredForMs(term, now) < 0;
   }
 
   /** For how long the lease on a term has been over, in milliseconds. */
-  lapsedMs(term: number, now: number): number {
+  expiredForMs(term: number, now: number): number {
     return this.held === term ? now - this.expiresAt : Infinity;
   }
 
--- a/src/services/lease/test/common/lease_fixture.ts
+++ b/src/services/lease/test/common/lease_fixture.ts
@@ -1,10 +1,10 @@
 import type {Clock} from '../../../../base/common/clock';
 import {every} from '../../../../base/node/timers';
 import type {PrimaryAssignment} from '../../../../schema/generated/fleet';
-import {LeadLeases, RENEW_EVERY_MS} from '../../common/lead_leases';
+import {PrimaryLeases, RENEWAL_INTERVAL_MS} from '../../common/primary_leases';
 
 /** A lead of the service "books". */
-export function makeLead(
+export function makeAssignment(
   instance: string,
   epoch: number,
   service = 'books',
@@ -16,13 +16,13 @@
 export function makeRenewedLeases(
   clock: Clock,
   signal: AbortSignal,
-): LeadLeases {
-  const leases = new LeadLeases(clock);
-  every(signal, RENEW_EVERY_MS, () => renew(leases));
+): PrimaryLeases {
+  const leases = new PrimaryLeases(clock);
+  every(signal, RENEWAL_INTERVAL_MS, () => renew(leases));
   return leases;
 }
 
 /** Asks for leases and gets them at once. */
-export function renew(leases: LeadLeases): void {
-  leases.onRenewed(leases.ask());
+export function renew(leases: PrimaryLeases): void {
+  leases.onRenewed(leases.beginRenewal());
 }
--- a/src/services/lease/test/common/lease_promise.test.ts
+++ b/src/services/lease/test/common/lease_promise.test.ts
@@ -1,6 +1,6 @@
 import {expect, it} from 'vitest';
 import {SeededRandom} from '../../../../base/common/random';
-import {LeadWorld} from './lead_world';
+import {LeaseSimulation} from './lease_simulation';
 
 const SCHEDULES = 60;
 const STEPS = 3_000;
@@ -13,7 +13,7 @@
   let orders = 0;
   let held = 0;
   for (let seed = 1; seed <= SCHEDULES; seed++) {
-    const world = new LeadWorld(new SeededRandom(seed));
+    const world = new LeaseSimulation(new SeededRandom(seed));
     for (let step = 0; step < STEPS; step++) world.step();
     expect(world.faults, `seed ${seed}`).toEqual([]);
     orders += world.orders;
--- a/src/services/lease/test/common/lead_world.ts
+++ b/src/services/lease/test/common/lease_simulation.ts
@@ -1,10 +1,10 @@
 import type {Clock} from '../../../../base/common/clock';
 import type {SeededRandom} from '../../../../base/common/random';
 import type {PrimaryAssignment} from '../../../../schema/generated/fleet';
-import {LeadBoard} from '../../common/lead_board';
-import {LeadLeases, RENEW_EVERY_MS} from '../../common/lead_leases';
+import {PublishedPrimaries} from '../../common/published_primaries';
+import {PrimaryLeases, RENEWAL_INTERVAL_MS} from '../../common/primary_leases';
 import {LeaseHolders} from '../../common/lease_holders';
-import {makeLead} from './lease_fixture';
+import {makeAssignment} from './lease_fixture';
 
 const SERVICE = 'books';
 const PROXIES = 4;
@@ -14,7 +14,7 @@
 
 /** A proxy on a clock of its own; frozen ones handle nothing for a while. */
 class Proxy {
-  readonly leases: LeadLeases;
+  readonly leases: PrimaryLeases;
   follows: Leader | undefined;
   frozenUntil = 0;
   nextAsk = 0;
@@ -25,13 +25,13 @@
     readonly name: string,
     clock: Clock,
   ) {
-    this.leases = new LeadLeases(clock);
+    this.leases = new PrimaryLeases(clock);
   }
 }
 
 /** An instance of control that leads, or believes that it still does. */
 class Leader {
-  readonly board = new LeadBoard();
+  readonly board = new PublishedPrimaries();
   readonly holders: LeaseHolders;
   readonly told = new Map<Proxy, number>();
   isReplacing = false;
@@ -53,14 +53,14 @@
  * Proxies and one leader of control after the other, joined by messages that
  * are late. Streams end at any moment. Time goes in steps; nothing has a socket or a timer.
  */
-export class LeadWorld {
+export class LeaseSimulation {
   now = 0;
   readonly faults: string[] = [];
   orders = 0;
   /** Times at which some proxy held a lease. */
   held = 0;
   /** The lead that a majority of the control log holds. */
-  private lead: PrimaryAssignment = makeLead('m0', 1);
+  private lead: PrimaryAssignment = makeAssignment('m0', 1);
   private leader: Leader;
   private readonly leaders: Leader[] = [];
   private readonly proxies: Proxy[];
@@ -86,7 +86,7 @@
 
   private elect(): Leader {
     const leader = new Leader(this.now, this.leaders.length);
-    leader.board.name(this.lead);
+    leader.board.offer(this.lead);
     this.leaders.push(leader);
     this.leader = leader;
     return leader;
@@ -147,8 +147,8 @@
     const {follows} = proxy;
     if (!follows || this.now < proxy.frozenUntil) return;
     if (this.now < proxy.nextAsk) return;
-    proxy.nextAsk = this.now + RENEW_EVERY_MS;
-    const number = proxy.leases.ask();
+    proxy.nextAsk = this.now + RENEWAL_INTERVAL_MS;
+    const number = proxy.leases.beginRenewal();
     this.send(proxy, () => this.onAsk(follows, proxy, number));
   }
 
@@ -168,11 +168,11 @@
 
   private tickLeader(leader: Leader): void {
     for (const [proxy, revision] of leader.told) {
-      const leads = leader.board.since(revision);
+      const leads = leader.board.changedSince(revision);
       if (leads.length === 0) continue;
       leader.told.set(proxy, leader.board.revision);
       this.toProxy(proxy, leader, () => {
-        for (const {service, epoch} of proxy.leases.onLeads(leads)) {
+        for (const {service, epoch} of proxy.leases.onAssignments(leads)) {
           this.send(proxy, () => {
             leader.holders.onReturned(proxy.name, service, epoch);
           });
@@ -185,13 +185,13 @@
   private replace(leader: Leader): void {
     leader.board.revoke(SERVICE);
     const epoch = leader.board.epochOf(SERVICE);
-    const relying = leader.holders.relyingOn(SERVICE, epoch, this.now);
+    const relying = leader.holders.holdersOf(SERVICE, epoch, this.now);
     // A decision is in the log only once a majority has it.
     if (relying.length > 0 || leader !== this.leader) return;
     leader.isReplacing = false;
     this.orders++;
-    this.lead = makeLead(`m${this.orders}`, this.lead.epoch + 1);
-    leader.board.name(this.lead);
+    this.lead = makeAssignment(`m${this.orders}`, this.lead.epoch + 1);
+    leader.board.offer(this.lead);
   }
 
   private check(): void {
--- a/src/services/lease/test/common/lead_leases.test.ts
+++ b/src/services/lease/test/common/primary_leases.test.ts
@@ -1,12 +1,12 @@
 import {describe, expect, it} from 'vitest';
 import {ManualClock} from '../../../../base/common/clock';
-import {LEASE_MS, LeadLeases} from '../../common/lead_leases';
-import {makeLead, renew} from './lease_fixture';
+import {LEASE_MS, PrimaryLeases} from '../../common/primary_leases';
+import {makeAssignment, renew} from './lease_fixture';
 
 function setUp() {
   const clock = new ManualClock();
-  const leases = new LeadLeases(clock);
-  leases.onLeads([makeLead('m1', 7)]);
+  const leases = new PrimaryLeases(clock);
+  leases.onAssignments([makeAssignment('m1', 7)]);
   return {clock, leases};
 }
 
@@ -15,7 +15,7 @@
     // A proxy asks, freezes, and finds the answer when it wakes up. Counted
     // from the answer, it would rely on a primary that was replaced meanwhile.
     const {clock, leases} = setUp();
-    const number = leases.ask();
+    const number = leases.beginRenewal();
     clock.advance(LEASE_MS - 1);
     leases.onRenewed(number);
     expect(leases.isHeld('books', 7)).toBe(true);
@@ -26,7 +26,7 @@
   it('are returned where control names nobody, and stay so', () => {
     const {leases} = setUp();
     renew(leases);
-    const returned = leases.onLeads([makeLead('', 7)]);
+    const returned = leases.onAssignments([makeAssignment('', 7)]);
     expect(returned).toEqual([{service: 'books', epoch: 7}]);
     renew(leases);
     expect(leases.isHeld('books', 7)).toBe(false);
@@ -37,13 +37,13 @@
     // heard of that: it names the same epoch. It must learn that this proxy
     // relies no more on it, or it would wait for the proxy in vain.
     const {leases} = setUp();
-    leases.onLeads([makeLead('', 7)]);
-    expect(leases.onLeads([makeLead('m1', 7)])).toEqual([
+    leases.onAssignments([makeAssignment('', 7)]);
+    expect(leases.onAssignments([makeAssignment('m1', 7)])).toEqual([
       {service: 'books', epoch: 7},
     ]);
     renew(leases);
     expect(leases.isHeld('books', 7)).toBe(false);
-    leases.onLeads([makeLead('m1', 9)]);
+    leases.onAssignments([makeAssignment('m1', 9)]);
     renew(leases);
     expect(leases.isHeld('books', 9)).toBe(true);
   });
@@ -51,7 +51,7 @@
   it('do not pass from one lead to the next', () => {
     const {leases} = setUp();
     renew(leases);
-    leases.onLeads([makeLead('m2', 8)]);
+    leases.onAssignments([makeAssignment('m2', 8)]);
     expect(leases.isHeld('books', 7)).toBe(false);
     expect(leases.isHeld('books', 8)).toBe(false);
     renew(leases);
@@ -65,14 +65,14 @@
     leases.onDidDetach();
     renew(leases);
     expect(leases.isHeld('books', 7)).toBe(false);
-    leases.onLeads([makeLead('m1', 7)]);
+    leases.onAssignments([makeAssignment('m1', 7)]);
     renew(leases);
     expect(leases.isHeld('books', 7)).toBe(true);
   });
 
   it('come by no answer to a question on an earlier stream', () => {
     const {leases} = setUp();
-    const number = leases.ask();
+    const number = leases.beginRenewal();
     leases.onDidDetach();
     leases.onRenewed(number);
     expect(leases.isHeld('books', 7)).toBe(false);
@@ -80,14 +80,14 @@
 
   it('answer whoever waits, either way', async () => {
     const {leases} = setUp();
-    const renewed = leases.confirm('books', 7, 1_000);
+    const renewed = leases.waitUntilHeld('books', 7, 1_000);
     renew(leases);
     expect(await renewed).toBe(true);
     const other = setUp().leases;
-    const revoked = other.confirm('books', 7, 1_000);
-    other.onLeads([makeLead('', 7)]);
+    const revoked = other.waitUntilHeld('books', 7, 1_000);
+    other.onAssignments([makeAssignment('', 7)]);
     expect(await revoked).toBe(false);
-    const late = setUp().leases.confirm('books', 7, 5);
+    const late = setUp().leases.waitUntilHeld('books', 7, 5);
     expect(await late).toBe(false);
   });
 });
--- a/src/services/membership/common/elastic_plan.ts
+++ b/src/services/membership/common/elastic_membership_plan.ts
@@ -2,7 +2,7 @@
 import {
   isCaughtUp,
   instanceOf,
-  planJoiner,
+  addLearner,
   type Joiner,
 } from './membership_plan';
 
@@ -10,15 +10,15 @@
 const LOST_AFTER_MS = 8_000;
 
 /** What a plan for a group without a fixed list is made from. */
-export interface ElasticView {
+export interface ElasticMembershipView {
   readonly configuration: Configuration;
   readonly joiners: readonly Joiner[];
   /** Voters that the group should have. */
-  readonly wanted: number;
+  readonly desiredVoterCount: number;
   readonly commitIndex: number;
   matchIndexOf(id: string): number;
   /** For how long the leader has not heard a peer, in milliseconds. */
-  silenceOf(id: string): number;
+  silentMsOf(id: string): number;
 }
 
 /**
@@ -30,17 +30,19 @@
  * new incarnation at its address) or that was silent for long. An instance
  * that forgot its vote thus never counts before it holds the log.
  */
-export function planElastic(view: ElasticView): Configuration | undefined {
+export function planElasticMembership(
+  view: ElasticMembershipView,
+): Configuration | undefined {
   const {peers} = view.configuration;
   for (const joiner of view.joiners) {
-    const next = planJoiner(peers, joiner);
+    const next = addLearner(peers, joiner);
     if (next) return {peers: next};
   }
   const learners = peers.filter(peer => isCaughtUp(view, peer));
   const voters = peers.filter(peer => peer.voter);
   const [learner] = learners;
   if (!learner) return undefined;
-  if (voters.length < view.wanted) return promote(peers, learner);
+  if (voters.length < view.desiredVoterCount) return promote(peers, learner);
   const replaced = voters.find(voter => isReplaced(view, voter, learners));
   return replaced && {peers: peers.filter(peer => peer !== replaced)};
 }
@@ -54,12 +56,12 @@
 }
 
 function isReplaced(
-  view: ElasticView,
+  view: ElasticMembershipView,
   voter: Peer,
   learners: readonly Peer[],
 ): boolean {
   const isSuperseded = learners.some(learner => {
     return instanceOf(learner.id) === instanceOf(voter.id);
   });
-  return isSuperseded || view.silenceOf(voter.id) >= LOST_AFTER_MS;
+  return isSuperseded || view.silentMsOf(voter.id) >= LOST_AFTER_MS;
 }
--- a/src/services/membership/common/membership_plan.ts
+++ b/src/services/membership/common/membership_plan.ts
@@ -13,7 +13,7 @@
 export interface MembershipView {
   readonly configuration: Configuration;
   /** Instances that the settings name. */
-  readonly allowed: ReadonlySet<string>;
+  readonly allowedInstances: ReadonlySet<string>;
   readonly joiners: readonly Joiner[];
   readonly commitIndex: number;
   matchIndexOf(id: string): number;
@@ -32,8 +32,8 @@
 ): Configuration | undefined {
   const {peers} = view.configuration;
   for (const joiner of view.joiners) {
-    if (!view.allowed.has(instanceOf(joiner.id))) continue;
-    const next = planJoiner(peers, joiner);
+    if (!view.allowedInstances.has(instanceOf(joiner.id))) continue;
+    const next = addLearner(peers, joiner);
     if (next) return {peers: next};
   }
   const learner = peers.find(peer => isCaughtUp(view, peer));
@@ -53,7 +53,7 @@
 }
 
 /** The peers with a joiner taken in as a learner; undefined if it is known. */
-export function planJoiner(
+export function addLearner(
   peers: readonly Peer[],
   {id, address}: Joiner,
 ): Peer[] | undefined {
--- a/src/services/membership/test/common/elastic_plan.test.ts
+++ b/src/services/membership/test/common/elastic_membership_plan.test.ts
@@ -1,6 +1,9 @@
 import {describe, expect, it} from 'vitest';
 import type {Peer} from '../../../../schema/generated/consensus';
-import {planElastic, type ElasticView} from '../../common/elastic_plan';
+import {
+  planElasticMembership,
+  type ElasticMembershipView,
+} from '../../common/elastic_membership_plan';
 
 const peer = (id: string, voter = true): Peer => ({
   id,
@@ -8,31 +11,36 @@
   voter,
 });
 
-const view = (peers: Peer[], over: Partial<ElasticView> = {}): ElasticView => ({
+const view = (
+  peers: Peer[],
+  over: Partial<ElasticMembershipView> = {},
+): ElasticMembershipView => ({
   configuration: {peers},
   joiners: [],
-  wanted: 3,
+  desiredVoterCount: 3,
   commitIndex: 100,
   matchIndexOf: () => 100,
-  silenceOf: () => 0,
+  silentMsOf: () => 0,
   ...over,
 });
 
 const FULL = [peer('a#1'), peer('b#1'), peer('c#1')];
 
-const idsOf = (plan: ReturnType<typeof planElastic>) => {
+const idsOf = (plan: ReturnType<typeof planElasticMembership>) => {
   return plan?.peers.map(({id, voter}) => `${id}${voter ? '' : ' learns'}`);
 };
 
 describe('a control group without a fixed list', () => {
   it('takes whoever asks in as a learner', () => {
     const joiners = [{id: 'd#1', address: 'd'}];
-    const plan = planElastic(view(FULL, {joiners}));
+    const plan = planElasticMembership(view(FULL, {joiners}));
     expect(idsOf(plan)).toEqual(['a#1', 'b#1', 'c#1', 'd#1 learns']);
   });
 
   it('puts no learner in the place of a voter that is heard', () => {
-    expect(planElastic(view([...FULL, peer('d#1', false)]))).toBeUndefined();
+    expect(
+      planElasticMembership(view([...FULL, peer('d#1', false)])),
+    ).toBeUndefined();
   });
 
   it('replaces a voter that was silent for long', () => {
@@ -40,17 +48,19 @@
     // The group must have three voters again before the next loss.
     const silenceOf = (id: string) => (id === 'b#1' ? 9_000 : 0);
     const peers = [...FULL, peer('d#1', false)];
-    const first = planElastic(view(peers, {silenceOf}))!;
+    const first = planElasticMembership(view(peers, {silentMsOf: silenceOf}))!;
     expect(idsOf(first)).toEqual(['a#1', 'c#1', 'd#1 learns']);
-    const second = planElastic(view(first.peers, {silenceOf}));
+    const second = planElasticMembership(
+      view(first.peers, {silentMsOf: silenceOf}),
+    );
     expect(idsOf(second)).toEqual(['a#1', 'c#1', 'd#1']);
   });
 
   it('replaces a lost folder only by a new one that has caught up', () => {
     const peers = [...FULL, peer('b#2', false)];
     const matchIndexOf = (id: string) => (id === 'b#2' ? 10 : 100);
-    expect(planElastic(view(peers, {matchIndexOf}))).toBeUndefined();
-    const plan = planElastic(view(peers));
+    expect(planElasticMembership(view(peers, {matchIndexOf}))).toBeUndefined();
+    const plan = planElasticMembership(view(peers));
     expect(idsOf(plan)).toEqual(['a#1', 'c#1', 'b#2 learns']);
   });
 });
--- a/src/services/membership/test/common/membership_plan.test.ts
+++ b/src/services/membership/test/common/membership_plan.test.ts
@@ -12,7 +12,7 @@
   const {peers, ...rest} = parts;
   return planMembership({
     configuration: {peers},
-    allowed: new Set(['a', 'b', 'c']),
+    allowedInstances: new Set(['a', 'b', 'c']),
     joiners: [],
     commitIndex: 500,
     matchIndexOf: () => 0,
--- a/src/services/pool/node/target_connection.ts
+++ b/src/services/pool/node/target_connection.ts
@@ -5,22 +5,22 @@
 import {after} from '../../../base/node/timers';
 import {
   decodeDiagnostic,
-  decodeParameter,
+  decodeParameterStatus,
   type Diagnostic,
 } from '../../wire/common/backend';
 import {
   bodyOf,
-  FrameSplitter,
-  typeOf,
+  FrameDecoder,
+  typeByteOf,
   type Frame,
 } from '../../wire/common/frames';
 
 const MOST_FRAME_BYTES = 1024 * 1024 * 1024;
 const OPENING_MS = 3_000;
-const ERROR = typeOf('E');
-const KEY_DATA = typeOf('K');
-const PARAMETER = typeOf('S');
-const READY = typeOf('Z');
+const ERROR = typeByteOf('E');
+const KEY_DATA = typeByteOf('K');
+const PARAMETER = typeByteOf('S');
+const READY = typeByteOf('Z');
 
 /** Where and as whom a connection is opened. */
 export interface TargetLogin {
@@ -33,8 +33,8 @@
 
 /** Who hears what a target answers; one at a time. */
 export interface AnswerListener {
-  onFrames(frames: readonly Frame[]): void;
-  onClosed(): void;
+  onDidReceive(frames: readonly Frame[]): void;
+  onDidClose(): void;
 }
 
 /** Why a connection was not opened. */
@@ -45,15 +45,15 @@
 /** One connection to a target, used by one transaction at a time. */
 export class TargetConnection {
   /** Statements that are prepared here, by their text and types. */
-  readonly prepared = new Map<string, string>();
+  readonly preparedStatements = new Map<string, string>();
   /** Session state was left behind that the next user must not see. */
-  dirty = false;
+  isDirty = false;
   incarnation = '';
   private listener: AnswerListener | undefined;
   private processId = 0;
   private secret = 0;
   private closed = false;
-  private readonly splitter = new FrameSplitter(MOST_FRAME_BYTES);
+  private readonly splitter = new FrameDecoder(MOST_FRAME_BYTES);
 
   private constructor(
     private readonly socket: Socket,
@@ -88,7 +88,7 @@
   }
 
   /** Names whoever hears the answers from now on. */
-  listen(listener: AnswerListener | undefined): void {
+  setListener(listener: AnswerListener | undefined): void {
     this.listener = listener;
   }
 
@@ -131,11 +131,11 @@
         finish(err({kind: 'unreachable', detail: 'no answer in time'}));
       });
       this.listener = {
-        onFrames: frames => {
+        onDidReceive: frames => {
           const outcome = this.onGreeting(frames);
           if (outcome) finish(outcome);
         },
-        onClosed: () => {
+        onDidClose: () => {
           finish(err({kind: 'unreachable', detail: 'connection closed'}));
         },
       };
@@ -161,7 +161,7 @@
         this.secret = body.readInt32BE(4);
       }
       if (frame.type === PARAMETER) {
-        const [name, value] = decodeParameter(body);
+        const [name, value] = decodeParameterStatus(body);
         if (name === 'group_incarnation') this.incarnation = value;
       }
     }
@@ -175,7 +175,7 @@
       return;
     }
     if (frames.length === 0) return;
-    if (this.listener) this.listener.onFrames(frames);
+    if (this.listener) this.listener.onDidReceive(frames);
     // An answer that nobody asked for would reach the next user.
     else this.socket.destroy();
   }
@@ -185,7 +185,7 @@
     this.closed = true;
     const {listener} = this;
     this.listener = undefined;
-    listener?.onClosed();
+    listener?.onDidClose();
     this.onDidClose(this);
   }
 }
--- a/src/services/pool/node/target_pool.ts
+++ b/src/services/pool/node/target_pool.ts
@@ -11,7 +11,7 @@
 /** What a pool's owner hears. */
 export interface PoolListener {
   /** A connection became free. */
-  onDidFree(): void;
+  onDidRelease(): void;
   onDidFailToOpen(failure: OpenFailure): void;
 }
 
@@ -39,25 +39,25 @@
     this.maintain();
   }
 
-  get free(): number {
+  get idleCount(): number {
     return this.idle.length;
   }
 
-  get inUse(): number {
+  get inUseCount(): number {
     return this.running.size;
   }
 
-  get total(): number {
+  get connectionCount(): number {
     return this.idle.length + this.running.size + this.opening;
   }
 
   /** The last attempts to open failed. */
-  get failing(): boolean {
+  get isFailing(): boolean {
     return this.backoffMs > 0;
   }
 
   /** Changes the cap; too many connections are closed as they come free. */
-  setCapacity(capacity: number): void {
+  setMaxConnections(capacity: number): void {
     this.capacity = capacity;
     this.trim();
     this.maintain();
@@ -86,17 +86,17 @@
       return;
     }
     const keep = clean && !connection.isClosed && !this.signal.aborted;
-    if (!keep || this.total >= this.capacity) {
+    if (!keep || this.connectionCount >= this.capacity) {
       connection.destroy();
       this.maintain();
       return;
     }
     this.idle.push(connection);
-    this.listener.onDidFree();
+    this.listener.onDidRelease();
   }
 
   /** Breaks off everything that runs: its users hear of it at once. */
-  abandon(): void {
+  destroyInUse(): void {
     for (const connection of this.running) connection.destroy();
   }
 
@@ -104,7 +104,7 @@
   maintain(): void {
     if (this.signal.aborted || this.clock.now() < this.retryAt) return;
     const wanted = Math.min(this.demand, this.capacity);
-    while (this.total < wanted) this.openOne();
+    while (this.connectionCount < wanted) this.openOne();
   }
 
   private openOne(): void {
@@ -117,12 +117,16 @@
       const connection = opened.value;
       // Another run of the target may hold less than is known of this one.
       const same = connection.incarnation === this.incarnation;
-      if (!same || this.signal.aborted || this.total >= this.capacity) {
+      if (
+        !same ||
+        this.signal.aborted ||
+        this.connectionCount >= this.capacity
+      ) {
         connection.destroy();
         return;
       }
       this.idle.push(connection);
-      this.listener.onDidFree();
+      this.listener.onDidRelease();
     });
   }
 
@@ -140,7 +144,7 @@
   }
 
   private trim(): void {
-    while (this.total > this.capacity && this.idle.length > 0) {
+    while (this.connectionCount > this.capacity && this.idle.length > 0) {
       this.idle.pop()!.destroy();
     }
   }
--- a/src/services/pooler/common/pooler_messages.ts
+++ b/src/services/pooler/common/pooler_messages.ts
@@ -11,8 +11,8 @@
 } from '../../../schema/generated/pooler';
 import type {
   PreparedStatement,
-  SessionMemory,
-} from '../../gateway/common/session_memory';
+  GatewaySessionState,
+} from '../../gateway/common/gateway_session_state';
 import type {MemberUser} from '../../../base/common/ids';
 import {
   failure,
@@ -76,7 +76,7 @@
 /** A statement as a message; undefined for an execution of an unknown name. */
 export function encodeStep(
   statement: PoolerStatement,
-  memory: SessionMemory,
+  memory: GatewaySessionState,
 ): WorkStep | undefined {
   const empty = {item: '', data: undefined, shape: ''};
   switch (statement.kind) {
@@ -91,7 +91,7 @@
       return {...empty, action: WorkAction.WORK_ACTION_WRITE, item, data};
     }
     case 'execute': {
-      const known = memory.lookUp(statement.name);
+      const known = memory.findPrepared(statement.name);
       if (!known) return undefined;
       const action =
         known.action === 'write'
@@ -137,44 +137,44 @@
 }
 
 /** What of a session goes to a pooler. */
-export interface SessionParts {
+export interface TransferredSession {
   readonly caller: string;
   readonly user: MemberUser;
-  readonly memory: SessionMemory;
+  readonly sessionState: GatewaySessionState;
 }
 
 /** What a member must know of a session, at a time of the session's clock. */
 export function encodeSession(
-  {caller, user, memory}: SessionParts,
+  {caller, user, sessionState}: TransferredSession,
   now: number,
 ): SessionSnapshot {
-  const {own} = memory;
+  const {lastCommit: own} = sessionState;
   return {
     caller,
     user,
-    values: [...memory.values].flat(),
+    values: [...sessionState.values].flat(),
     ownCommit: own?.position,
-    ownCommitAgeMs: own ? wholeAge(now - own.at) : 0,
+    ownCommitAgeMs: own ? toWholeMilliseconds(now - own.acknowledgedAt) : 0,
   };
 }
 
 /** Brings a pooler's memory of a session up to date, by the pooler's clock. */
 export function applySession(
   {values, ownCommit, ownCommitAgeMs}: SessionSnapshot,
-  memory: SessionMemory,
+  memory: GatewaySessionState,
   now: number,
 ): void {
   memory.values.clear();
   for (let at = 0; at + 1 < values.length; at += 2) {
     memory.setValue(values[at]!, values[at + 1]!);
   }
-  memory.onCommit(ownCommit, now - ownCommitAgeMs);
+  memory.recordCommit(ownCommit, now - ownCommitAgeMs);
 }
 
 /** Makes the prepared statement of a step known to a pooler's memory. */
 export function applyPrepared(
   {prepared}: DecodedStep,
-  memory: SessionMemory,
+  memory: GatewaySessionState,
 ): void {
   if (prepared) memory.prepare(STEP_STATEMENT, prepared);
 }
@@ -234,6 +234,6 @@
  * back to then lies no earlier than the writer meant, so that a read never
  * accepts older data than its caller does.
  */
-export function wholeAge(milliseconds: number): number {
+export function toWholeMilliseconds(milliseconds: number): number {
   return Math.max(0, Math.floor(milliseconds));
 }
--- a/src/services/pooler/common/pooler_plan.ts
+++ b/src/services/pooler/common/pooler_plan.ts
@@ -1,9 +1,9 @@
 import {hashOf} from '../../../base/common/hash';
 import type {PoolerEntry} from '../../../schema/generated/fleet';
-import {sharedConnections} from '../../dispatch/common/shared_connections';
+import {usableConnections} from '../../dispatch/common/usable_connections';
 
 /** A proxy that can keep connections for others. */
-export interface Candidate {
+export interface PoolerCandidate {
   readonly instance: string;
   readonly site: string;
   /** Where other proxies reach it. */
@@ -49,12 +49,12 @@
  */
 export function planPoolers(
   services: readonly PooledService[],
-  candidates: readonly Candidate[],
-  inPlace: readonly PoolerEntry[],
+  candidates: readonly PoolerCandidate[],
+  current: readonly PoolerEntry[],
 ): PoolerEntry[] {
   if (services.length === 0) return [];
   const plan = new PoolerPlan(services, candidates);
-  plan.make(inPlace);
+  plan.make(current);
   // Where sites differ in size a first plan may have more in one place than
   // the next one would keep; a plan made from it does not change any more.
   const settled = new PoolerPlan(services, candidates);
@@ -67,7 +67,7 @@
   readonly entries: PoolerEntry[] = [];
   private readonly byService = new Map<string, PoolerEntry[]>();
   private readonly wanted: ReadonlyMap<string, number>;
-  private readonly candidates: ReadonlyMap<string, Candidate>;
+  private readonly candidates: ReadonlyMap<string, PoolerCandidate>;
   /** Services that each proxy keeps connections for. */
   private readonly roles = new Map<string, number>();
   private readonly mostRoles: number;
@@ -75,7 +75,7 @@
 
   constructor(
     services: readonly PooledService[],
-    candidates: readonly Candidate[],
+    candidates: readonly PoolerCandidate[],
   ) {
     const proxies = candidates.length;
     this.candidates = new Map(candidates.map(one => [one.instance, one]));
@@ -96,7 +96,7 @@
    */
   private countFor({connections}: PooledService, services: number): number {
     const proxies = this.candidates.size;
-    const shared = sharedConnections(connections);
+    const shared = usableConnections(connections);
     const {sites} = this;
     // A site without a pooler would send all its work to another one.
     if (Math.floor(shared / sites) < LEAST_SHARE) return 0;
@@ -141,7 +141,10 @@
     }
   }
 
-  private add(service: string, {instance, address, site}: Candidate): void {
+  private add(
+    service: string,
+    {instance, address, site}: PoolerCandidate,
+  ): void {
     const entry = {service, instance, address, site};
     this.entries.push(entry);
     const own = this.byService.get(service);
@@ -168,8 +171,8 @@
   private next(
     service: string,
     own: readonly PoolerEntry[],
-  ): Candidate | undefined {
-    let best: Candidate | undefined;
+  ): PoolerCandidate | undefined {
+    let best: PoolerCandidate | undefined;
     let least: readonly number[] = [];
     for (const candidate of this.candidates.values()) {
       const {instance, site} = candidate;
--- a/src/services/pooler/common/pooler_planner.ts
+++ b/src/services/pooler/common/pooler_planner.ts
@@ -1,5 +1,9 @@
 import type {PoolerEntry} from '../../../schema/generated/fleet';
-import {planPoolers, type Candidate, type PooledService} from './pooler_plan';
+import {
+  planPoolers,
+  type PoolerCandidate,
+  type PooledService,
+} from './pooler_plan';
 
 /**
  * A leader names poolers where none are once its proxies had time to come, in
@@ -42,7 +46,7 @@
   /** The poolers from now on; undefined where those in place stay. */
   plan(
     services: readonly PooledService[],
-    attached: readonly Candidate[],
+    attached: readonly PoolerCandidate[],
     inPlace: readonly PoolerEntry[],
     now: number,
   ): PoolerEntry[] | undefined {
@@ -59,13 +63,13 @@
 
   /** Poolers that were attached a moment ago. */
   private missing(
-    attached: readonly Candidate[],
+    attached: readonly PoolerCandidate[],
     inPlace: readonly PoolerEntry[],
     now: number,
-  ): Candidate[] {
+  ): PoolerCandidate[] {
     const present = new Set(attached.map(({instance}) => instance));
     for (const instance of present) this.missingSince.delete(instance);
-    const kept = new Map<string, Candidate>();
+    const kept = new Map<string, PoolerCandidate>();
     for (const entry of inPlace) {
       const {instance} = entry;
       if (present.has(instance)) continue;
@@ -78,7 +82,7 @@
 }
 
 /** A proxy that came back at another place is another candidate. */
-function namesOf(candidates: readonly Candidate[]): string {
+function namesOf(candidates: readonly PoolerCandidate[]): string {
   return candidates.map(one => `${one.instance} ${one.address}`).join();
 }
 
--- a/src/services/pooler/common/choose_pooler.ts
+++ b/src/services/pooler/common/pooler_ranking.ts
@@ -3,7 +3,7 @@
 import type {PoolerEntry} from '../../../schema/generated/fleet';
 
 /** Where a proxy is, to find the poolers near it. */
-export interface Whereabouts {
+export interface ProxyLocation {
   readonly instance: string;
   readonly site: string;
   regionOf(site: string): string;
@@ -12,7 +12,7 @@
 }
 
 /** The work that a pooler is wanted for. */
-export interface PoolerWish {
+export interface PoolerRequirements {
   readonly service: string;
   /** Whose connections it uses. */
   readonly user: MemberUser;
@@ -20,18 +20,24 @@
 }
 
 /** The order in which a proxy uses the poolers of a service. */
-export interface PoolerChoice {
-  rank(poolers: readonly PoolerEntry[], wish: PoolerWish): PoolerEntry[];
+export interface PoolerRanking {
+  rank(
+    poolers: readonly PoolerEntry[],
+    wish: PoolerRequirements,
+  ): PoolerEntry[];
 }
 
 /**
  * Its own site's first, then its region's. Among equals each proxy has an order
  * of its own, so that those of a pooler that is lost spread over the others.
  */
-export class NearestFirst implements PoolerChoice {
-  constructor(private readonly here: Whereabouts) {}
+export class NearestPoolerRanking implements PoolerRanking {
+  constructor(private readonly here: ProxyLocation) {}
 
-  rank(poolers: readonly PoolerEntry[], {service}: PoolerWish): PoolerEntry[] {
+  rank(
+    poolers: readonly PoolerEntry[],
+    {service}: PoolerRequirements,
+  ): PoolerEntry[] {
     const {here} = this;
     return rankBy(poolers, service, ({site, instance}) => [
       distanceOf(site, here),
@@ -49,12 +55,12 @@
  * of them held six connections each for 74 accounts, and two operations of
  * three opened one (12 ms of one of a member's three slots).
  */
-export class OneForAccount implements PoolerChoice {
-  constructor(private readonly here: Whereabouts) {}
+export class AccountAffinityRanking implements PoolerRanking {
+  constructor(private readonly here: ProxyLocation) {}
 
   rank(
     poolers: readonly PoolerEntry[],
-    {service, user, needsPrimary}: PoolerWish,
+    {service, user, needsPrimary}: PoolerRequirements,
   ): PoolerEntry[] {
     const {here} = this;
     const own = here.regionOf(here.site);
@@ -80,7 +86,7 @@
   return ranked.map(({entry}) => entry);
 }
 
-function distanceOf(site: string, here: Whereabouts): number {
+function distanceOf(site: string, here: ProxyLocation): number {
   if (site === here.site) return 0;
   return here.regionOf(site) === here.regionOf(here.site) ? 1 : 2;
 }
--- a/src/services/pooler/common/pooler_waits.ts
+++ b/src/services/pooler/common/pooler_waits.ts
@@ -4,7 +4,7 @@
 const WORD_MS = 300;
 
 /** Work whose wait is asked for. */
-export interface WaitQuestion {
+export interface WaitQuery {
   readonly service: string;
   readonly needsPrimary: boolean;
   readonly priority: number;
@@ -22,7 +22,7 @@
   private readonly words = new Map<string, Map<number, Word>>();
 
   /** Takes the words that came with a reply. */
-  note(waits: readonly WorkWait[], now: number): void {
+  update(waits: readonly WorkWait[], now: number): void {
     for (const {service, needsPrimary, priority, waitMs} of waits) {
       const key = `${service} ${needsPrimary}`;
       const own = this.words.get(key) ?? new Map<number, Word>();
@@ -37,7 +37,7 @@
    * How long new work would wait still, in milliseconds; 0 where the pooler
    * said nothing lately. Work waits at least as long as what is more urgent.
    */
-  expected({service, needsPrimary, priority}: WaitQuestion, now: number) {
+  expectedWaitMs({service, needsPrimary, priority}: WaitQuery, now: number) {
     const own = this.words.get(`${service} ${needsPrimary}`);
     if (!own) return 0;
     let longest = 0;
--- a/src/services/pooler/common/choose_by_wait.ts
+++ b/src/services/pooler/common/select_by_wait.ts
@@ -1,14 +1,14 @@
 /** A pooler, and how long it says that work waits there. */
-export interface PoolerOffer<L> {
+export interface PoolerLoad<L> {
   readonly link: L;
   /** In milliseconds; 0 where nothing is known. */
   readonly waitMs: number;
 }
 
 /** Where work goes by what poolers said of their waits. */
-export type WaitChoice<L> =
+export type PoolerSelection<L> =
   | {readonly kind: 'send'; readonly link: L}
-  | {readonly kind: 'refuse'; readonly offer: PoolerOffer<L>};
+  | {readonly kind: 'refuse'; readonly load: PoolerLoad<L>};
 
 /**
  * Another pooler has to be better by this, in milliseconds: the way there may
@@ -21,17 +21,17 @@
  * to the one with clearly less wait, if it is served there in time. Connections
  * belong to accounts, so that work is not moved for less.
  */
-export function chooseByWait<L>(
-  first: PoolerOffer<L>,
-  others: readonly PoolerOffer<L>[],
-  roomMs: number,
-): WaitChoice<L> {
-  if (first.waitMs <= roomMs) return {kind: 'send', link: first.link};
+export function selectByWait<L>(
+  first: PoolerLoad<L>,
+  others: readonly PoolerLoad<L>[],
+  maxWaitMs: number,
+): PoolerSelection<L> {
+  if (first.waitMs <= maxWaitMs) return {kind: 'send', link: first.link};
   let best = first;
   for (const other of others) {
     const isClear = other.waitMs + CLEARLY_LESS_MS <= first.waitMs;
     if (isClear && other.waitMs < best.waitMs) best = other;
   }
-  if (best.waitMs <= roomMs) return {kind: 'send', link: best.link};
-  return {kind: 'refuse', offer: best};
+  if (best.waitMs <= maxWaitMs) return {kind: 'send', link: best.link};
+  return {kind: 'refuse', load: best};
 }
--- a/src/services/pooler/common/wait_report.ts
+++ b/src/services/pooler/common/wait_report.ts
@@ -1,5 +1,5 @@
 import type {WorkWait} from '../../../schema/generated/pooler';
-import type {PlaceWait} from '../../dispatch/common/place_request';
+import type {CheckoutWait} from '../../dispatch/common/checkout_request';
 
 /** Shorter waits change nothing for who sends work, in milliseconds. */
 const LEAST_TOLD_MS = 30;
@@ -12,10 +12,10 @@
  */
 export class WaitReport {
   /** Waits that the proxy counts with, by service. */
-  private readonly told = new Map<string, readonly PlaceWait[]>();
+  private readonly told = new Map<string, readonly CheckoutWait[]>();
 
   /** What goes with the next reply. */
-  next(service: string, waits: readonly PlaceWait[]): WorkWait[] {
+  nextEntries(service: string, waits: readonly CheckoutWait[]): WorkWait[] {
     const long = waits.filter(({waitMs}) => waitMs >= LEAST_TOLD_MS);
     const before = this.told.get(service) ?? [];
     if (long.length > 0) this.told.set(service, long);
@@ -28,7 +28,7 @@
   }
 }
 
-function isSame(one: PlaceWait, other: PlaceWait): boolean {
+function isSame(one: CheckoutWait, other: CheckoutWait): boolean {
   const {needsPrimary, priority} = other;
   return one.needsPrimary === needsPrimary && one.priority === priority;
 }
--- a/src/services/pooler/node/pooled_runner.ts
+++ b/src/services/pooler/node/pooled_runner.ts
@@ -1,32 +1,35 @@
 import type {Task} from '../../../base/node/task';
 import {WorkScope} from '../../../schema/generated/pooler';
-import type {Attempt} from '../../gateway/node/request_journal';
+import type {Attempt} from '../../gateway/node/request_telemetry';
 import {
-  mayRepeat,
+  canRetry,
   refusalResult,
   type SessionContext,
 } from '../../gateway/node/session_context';
 import {
   needsPrimary,
-  type SingleRequest,
+  type StatementRequest,
 } from '../../gateway/node/single_statement';
-import {LOCAL_RUNNER, type WorkRunner} from '../../gateway/node/work_runner';
+import {
+  LOCAL_RUNNER,
+  type StatementRunner,
+} from '../../gateway/node/statement_runner';
 import {
   failure,
-  saysNotRun,
+  didNotRun,
   type StatementResult,
 } from '../../statement/common/statement';
 import {
   encodeSession,
   encodeStep,
   encodeTerms,
-  wholeAge,
+  toWholeMilliseconds,
 } from '../common/pooler_messages';
 import {PooledTransaction} from './pooled_transaction';
-import {callPooler, takeLink} from './pooler_call';
+import {callPooler, acquireLink} from './pooler_call';
 import type {PoolerDirectory} from './pooler_directory';
 import {PoolerLink} from './pooler_link';
-import {WaitDecision} from './wait_decision';
+import {PoolerSelector} from './pooler_selector';
 
 /**
  * Poolers that a read is sent to at most. One that answers nothing may be busy
@@ -35,20 +38,20 @@
 const MOST_POOLERS = 2;
 
 /** Runs sessions' work at the poolers of their services. */
-export class PooledRunner implements WorkRunner {
-  private readonly waits: WaitDecision;
+export class PooledRunner implements StatementRunner {
+  private readonly waits: PoolerSelector;
 
   constructor(private readonly directory: PoolerDirectory) {
-    this.waits = new WaitDecision(directory);
+    this.waits = new PoolerSelector(directory);
   }
 
-  *runSingle(
+  *runStatement(
     context: SessionContext,
-    request: SingleRequest,
+    request: StatementRequest,
   ): Task<StatementResult> {
     const {directory} = this;
     const {route, requestId, statement, since, isWrite} = request;
-    const step = encodeStep(statement, context.memory);
+    const step = encodeStep(statement, context.sessionState);
     if (!step) return failure('unknown name', 'not prepared');
     const deadline = since + route.statementMs;
     const passed = new Set<PoolerLink>();
@@ -58,34 +61,36 @@
       needsPrimary: needsPrimary(request),
     };
     for (;;) {
-      const found = yield* takeLink(directory, context, wish, passed);
+      const found = yield* acquireLink(directory, context, wish, passed);
       if (!found) {
-        const result = yield* LOCAL_RUNNER.runSingle(context, request);
+        const result = yield* LOCAL_RUNNER.runStatement(context, request);
         return passed.size === 0 ? result : mayHaveRun(result);
       }
       // What was sent before may have run, and is not refused as not run.
       const isFirst = passed.size === 0;
       const work = {route, wish, since, deadline, requestId};
-      const link = isFirst ? this.waits.decide(context, found, work) : found;
+      const link = isFirst ? this.waits.select(context, found, work) : found;
       if (!(link instanceof PoolerLink)) return refusalResult(link);
       if (isFirst) context.classes.onRequest(route.service);
       const now = context.clock.now();
       const outcome = yield* callPooler(context, {
         link,
         deadline,
-        repeatable: !isWrite,
+        isRetryable: !isWrite,
         request: {
-          work: link.nextWork(),
+          work: link.nextWorkId(),
           requestId,
           scope: WorkScope.WORK_SCOPE_SINGLE,
           step,
-          ageMs: wholeAge(now - since),
+          ageMs: toWholeMilliseconds(now - since),
           session: encodeSession(context, now),
           terms: encodeTerms(route),
         },
       });
       if (outcome) return outcome.result;
-      if (context.gone.aborted) return failure('timeout', 'the caller left');
+      if (context.callerGone.aborted) {
+        return failure('timeout', 'the caller left');
+      }
       const tookMs = context.clock.now() - now;
       const attempt = {instance: link.address, tookMs, detail: 'no answer'};
       passed.add(link);
@@ -96,8 +101,10 @@
     }
   }
 
-  begin(
-    ...[context, route, readOnly, since]: Parameters<WorkRunner['begin']>
+  beginTransaction(
+    ...[context, route, readOnly, since]: Parameters<
+      StatementRunner['beginTransaction']
+    >
   ): PooledTransaction {
     return new PooledTransaction(
       this.directory,
@@ -115,25 +122,25 @@
  * there, so nobody may say that it did not.
  */
 function mayHaveRun(result: StatementResult): StatementResult {
-  const isRefused = result.kind === 'error' && saysNotRun(result.failure);
+  const isRefused = result.kind === 'error' && didNotRun(result.failure);
   return isRefused ? failure('timeout', 'no answer from the pooler') : result;
 }
 
 /** What a caller is told without an answer; undefined to ask another pooler. */
 function endUnanswered(
   context: SessionContext,
-  {requestId, route: {service}, isWrite}: SingleRequest,
+  {requestId, route: {service}, isWrite}: StatementRequest,
   attempt: Attempt,
   isLast: boolean,
 ): StatementResult | undefined {
-  const {journal} = context;
+  const {telemetry} = context;
   if (isWrite) {
-    journal.onFailed(requestId, service, attempt);
+    telemetry.recordFailure(requestId, service, attempt);
     return failure('unknown outcome', 'the write may have taken effect');
   }
-  journal.onRepeated(requestId, service, attempt);
+  telemetry.recordRetry(requestId, service, attempt);
   const {detail} = attempt;
-  if (!isLast && mayRepeat(context, requestId, service, detail)) {
+  if (!isLast && canRetry(context, requestId, service, detail)) {
     return undefined;
   }
   return failure('timeout', 'no answer from the pooler');
