--- a/src/services/pooler/node/pooled_transaction.ts
+++ b/src/services/pooler/node/pooled_transaction.ts
@@ -6,17 +6,17 @@
   type WorkRequest,
   type WorkStep,
 } from '../../../schema/generated/pooler';
-import type {TransactionStep} from '../../gateway/node/open_transaction';
+import type {StatementOutcome} from '../../gateway/node/local_transaction';
 import {
-  mayRepeat,
+  canRetry,
   refusalResult,
   type SessionContext,
 } from '../../gateway/node/session_context';
-import type {WorkStatement} from '../../gateway/node/statement_on_link';
+import type {MemberStatement} from '../../gateway/node/statement_preparation';
 import {
   LOCAL_RUNNER,
-  type WorkTransaction,
-} from '../../gateway/node/work_runner';
+  type SessionTransaction,
+} from '../../gateway/node/statement_runner';
 import {
   failure,
   type CallerReply,
@@ -27,13 +27,13 @@
   encodeSession,
   encodeStep,
   encodeTerms,
-  wholeAge,
+  toWholeMilliseconds,
 } from '../common/pooler_messages';
-import type {PoolerWish} from '../common/choose_pooler';
-import {callPooler, takeLink} from './pooler_call';
+import type {PoolerRequirements} from '../common/pooler_ranking';
+import {callPooler, acquireLink} from './pooler_call';
 import type {PoolerDirectory} from './pooler_directory';
 import {PoolerLink} from './pooler_link';
-import type {WaitDecision} from './wait_decision';
+import type {PoolerSelector} from './pooler_selector';
 
 /** Where a transaction is: at a pooler, under a name on its link. */
 interface Place {
@@ -45,17 +45,17 @@
  * A transaction whose connection a pooler has. It goes to one with its first
  * statement and stays there to its end.
  */
-export class PooledTransaction implements WorkTransaction {
+export class PooledTransaction implements SessionTransaction {
   private place: Place | undefined;
   /** Its first statement was sent. */
   private begun = false;
   private failed = false;
   /** Runs it here instead, where no pooler could be reached at its start. */
-  private local: WorkTransaction | undefined;
+  private local: SessionTransaction | undefined;
 
   constructor(
     private readonly directory: PoolerDirectory,
-    private readonly waits: WaitDecision,
+    private readonly waits: PoolerSelector,
     private readonly context: SessionContext,
     private readonly route: DatabaseRoute,
     private readonly readOnly: boolean,
@@ -67,12 +67,12 @@
     return this.failed ? 'failed' : 'open';
   }
 
-  giveUp(reason: string): void {
-    if (this.local) return this.local.giveUp(reason);
+  abort(reason: string): void {
+    if (this.local) return this.local.abort(reason);
     if (this.failed) return;
     this.fail();
     const attempt = {instance: '', tookMs: 0, detail: reason};
-    this.context.journal.onFailed('-', this.route.service, attempt);
+    this.context.telemetry.recordFailure('-', this.route.service, attempt);
   }
 
   /** The pooler rolls back by itself; the caller need not wait for that. */
@@ -81,16 +81,16 @@
     const {place} = this;
     this.place = undefined;
     if (!place) return;
-    const step = encodeStep({kind: 'rollback'}, this.context.memory)!;
+    const step = encodeStep({kind: 'rollback'}, this.context.sessionState)!;
     const request = this.requestFor(place.work, '-', step, false);
-    void place.link.send(request, {repeatable: true});
+    void place.link.send(request, {isRetryable: true});
   }
 
   *run(
     requestId: string,
-    statement: WorkStatement,
+    statement: MemberStatement,
     isWrite: boolean,
-  ): Task<TransactionStep> {
+  ): Task<StatementOutcome> {
     if (this.failed) return {result: GIVEN_UP, state: 'failed'};
     const refused = yield* this.find(requestId);
     if (refused) {
@@ -98,7 +98,7 @@
       return {result: refused, state: 'failed'};
     }
     if (this.local) return yield* this.local.run(requestId, statement, isWrite);
-    const step = encodeStep(statement, this.context.memory);
+    const step = encodeStep(statement, this.context.sessionState);
     if (!step) {
       const result = failure('unknown name', 'not prepared');
       return {result, state: 'open'};
@@ -110,12 +110,12 @@
     return {result, state: this.state};
   }
 
-  *commit(requestId: string): Task<TransactionStep> {
+  *commit(requestId: string): Task<StatementOutcome> {
     if (this.failed) return {result: GIVEN_UP, state: 'idle'};
     const refused = yield* this.find(requestId);
     if (refused) return {result: refused, state: 'idle'};
     if (this.local) return yield* this.local.commit(requestId);
-    const step = encodeStep({kind: 'commit'}, this.context.memory)!;
+    const step = encodeStep({kind: 'commit'}, this.context.sessionState)!;
     const outcome = yield* this.send(requestId, step);
     this.place = undefined;
     return {result: outcome?.result ?? this.unknown(requestId), state: 'idle'};
@@ -130,15 +130,20 @@
     const {context, route, readOnly, since} = this;
     const found = yield* this.takeLink(NO_LINKS);
     if (!found) {
-      this.local = LOCAL_RUNNER.begin(context, route, readOnly, since);
+      this.local = LOCAL_RUNNER.beginTransaction(
+        context,
+        route,
+        readOnly,
+        since,
+      );
       return undefined;
     }
     const {wish} = this;
     const deadline = context.clock.now() + route.statementMs;
     const work = {route, wish, since, deadline, requestId};
-    const link = this.waits.decide(context, found, work);
+    const link = this.waits.select(context, found, work);
     if (!(link instanceof PoolerLink)) return refusalResult(link);
-    this.place = {link, work: link.nextWork()};
+    this.place = {link, work: link.nextWorkId()};
     context.classes.onRequest(route.service);
     return undefined;
   }
@@ -165,20 +170,20 @@
         link,
         request,
         deadline,
-        repeatable,
+        isRetryable: repeatable,
       });
       const isLate = context.clock.now() >= deadline;
-      const isOver = isLate || context.gone.aborted;
+      const isOver = isLate || context.callerGone.aborted;
       if (outcome || !repeatable || isOver) return outcome;
-      link.abandon(work);
+      link.cancel(work);
       passed.add(link);
       const attempt = {instance: link.address, tookMs: 0, detail: 'no answer'};
-      context.journal.onRepeated(requestId, route.service, attempt);
+      context.telemetry.recordRetry(requestId, route.service, attempt);
       const {detail} = attempt;
-      const isRepeated = mayRepeat(context, requestId, route.service, detail);
+      const isRepeated = canRetry(context, requestId, route.service, detail);
       if (!isRepeated) return undefined;
       const next = yield* this.takeLink(passed);
-      this.place = next && {link: next, work: next.nextWork()};
+      this.place = next && {link: next, work: next.nextWorkId()};
     }
     return undefined;
   }
@@ -186,10 +191,10 @@
   private takeLink(
     passed: ReadonlySet<PoolerLink>,
   ): Task<PoolerLink | undefined> {
-    return takeLink(this.directory, this.context, this.wish, passed);
+    return acquireLink(this.directory, this.context, this.wish, passed);
   }
 
-  private get wish(): PoolerWish {
+  private get wish(): PoolerRequirements {
     const {context, route, readOnly} = this;
     const isStrict = route.consistency === Consistency.CONSISTENCY_PRIMARY;
     return {
@@ -215,14 +220,14 @@
       requestId,
       scope: isFirst ? begin : WorkScope.WORK_SCOPE_CONTINUE,
       step,
-      ageMs: wholeAge(now - since),
+      ageMs: toWholeMilliseconds(now - since),
       session: encodeSession(context, now),
       terms: isFirst ? encodeTerms(route) : undefined,
     };
   }
 
   /** Without a commit nothing is kept, whatever became of the pooler. */
-  private lost(text: string): TransactionStep {
+  private lost(text: string): StatementOutcome {
     this.fail();
     return {result: failure('aborted', text), state: 'failed'};
   }
@@ -230,13 +235,17 @@
   private unknown(requestId: string): StatementResult {
     const detail = 'no answer to a commit: the pooler was lost';
     const attempt = {instance: '', tookMs: 0, detail};
-    this.context.journal.onFailed(requestId, this.route.service, attempt);
+    this.context.telemetry.recordFailure(
+      requestId,
+      this.route.service,
+      attempt,
+    );
     return failure('unknown outcome', 'the commit may have taken effect');
   }
 
   private fail(): void {
     this.failed = true;
-    this.place?.link.abandon(this.place.work);
+    this.place?.link.cancel(this.place.work);
     this.place = undefined;
   }
 }
--- a/src/services/pooler/node/pooled_work.ts
+++ b/src/services/pooler/node/pooled_work.ts
@@ -3,17 +3,17 @@
 import {ownController} from '../../../base/node/timers';
 import type {DatabaseRoute} from '../../../schema/generated/fleet';
 import {WorkScope, type WorkRequest} from '../../../schema/generated/pooler';
-import {SessionMemory} from '../../gateway/common/session_memory';
+import {GatewaySessionState} from '../../gateway/common/gateway_session_state';
 import type {Gateway} from '../../gateway/node/gateway';
-import type {TransactionStep} from '../../gateway/node/open_transaction';
+import type {StatementOutcome} from '../../gateway/node/local_transaction';
 import type {SessionContext} from '../../gateway/node/session_context';
 import {
   LOCAL_RUNNER,
-  type WorkTransaction,
-} from '../../gateway/node/work_runner';
+  type SessionTransaction,
+} from '../../gateway/node/statement_runner';
 import {comparePositions, type Position} from '../../position/common/position';
 import {
-  DONE_HERE,
+  DONE_LOCALLY,
   failure,
   type CallerReply,
 } from '../../statement/common/statement';
@@ -27,11 +27,11 @@
 
 /** One statement or one transaction that another proxy sent. */
 export class PooledWork {
-  private readonly memory = new SessionMemory();
+  private readonly memory = new GatewaySessionState();
   private readonly gone = ownController();
   private context: SessionContext | undefined;
   private route: DatabaseRoute | undefined;
-  private transaction: WorkTransaction | undefined;
+  private transaction: SessionTransaction | undefined;
   private over = false;
 
   constructor(
@@ -55,9 +55,9 @@
   }
 
   /** What waits for a place leaves the queue. */
-  giveUp(reason: string): void {
+  cancel(reason: string): void {
     this.gone.abort();
-    this.transaction?.giveUp(reason);
+    this.transaction?.abort(reason);
   }
 
   private *runStep(
@@ -71,13 +71,13 @@
 
   /** What this step committed; undefined where it committed nothing. */
   private committedSince({session}: WorkRequest): Position | undefined {
-    const own = this.memory.own?.position;
+    const own = this.memory.lastCommit?.position;
     const before = session?.ownCommit;
     if (!own || !before) return own;
     return comparePositions(own, before) > 0 ? own : undefined;
   }
 
-  private *outcomeOf(request: WorkRequest): Task<TransactionStep> {
+  private *outcomeOf(request: WorkRequest): Task<StatementOutcome> {
     const {step, session, terms, scope} = request;
     const decoded = step && decodeStep(step);
     if (!decoded || !session) return INVALID;
@@ -88,7 +88,7 @@
     const {route} = this;
     if (!route) return INVALID;
     const since = now - request.ageMs;
-    this.context ??= this.gateway.makeContext(
+    this.context ??= this.gateway.makeSessionContext(
       {caller: callerName(session.caller), user: memberUser(session.user)},
       this.memory,
       () => this.route,
@@ -101,14 +101,14 @@
     }
     if (scope !== WorkScope.WORK_SCOPE_CONTINUE) {
       const readOnly = scope === WorkScope.WORK_SCOPE_BEGIN_READ;
-      this.transaction = LOCAL_RUNNER.begin(
+      this.transaction = LOCAL_RUNNER.beginTransaction(
         this.context,
         route,
         readOnly,
         since,
       );
       const wasGivenUp = this.gone.signal.aborted;
-      if (wasGivenUp) this.transaction.giveUp('given up before it began');
+      if (wasGivenUp) this.transaction.abort('given up before it began');
     }
     return yield* this.runInTransaction(request.requestId, decoded);
   }
@@ -118,20 +118,20 @@
     {statement, prepared}: DecodedStep,
     context: SessionContext,
     since: number,
-  ): Task<TransactionStep> {
+  ): Task<StatementOutcome> {
     const {kind} = statement;
     if (kind === 'commit' || kind === 'rollback') return INVALID;
     const isWrite = kind === 'write' || prepared?.action === 'write';
     const route = this.route!;
     const single = {requestId, statement, isWrite, route, since};
-    const result = yield* LOCAL_RUNNER.runSingle(context, single);
+    const result = yield* LOCAL_RUNNER.runStatement(context, single);
     return {result, state: 'idle'};
   }
 
   private *runInTransaction(
     requestId: string,
     {statement, prepared}: DecodedStep,
-  ): Task<TransactionStep> {
+  ): Task<StatementOutcome> {
     const {transaction} = this;
     if (!transaction) return INVALID;
     switch (statement.kind) {
@@ -139,7 +139,7 @@
         return yield* transaction.commit(requestId);
       case 'rollback':
         yield* transaction.rollback();
-        return {result: DONE_HERE, state: 'idle'};
+        return {result: DONE_LOCALLY, state: 'idle'};
       default: {
         const isWrite =
           statement.kind === 'write' || prepared?.action === 'write';
@@ -150,7 +150,7 @@
 }
 
 /** A proxy of another version asked for something that is not known here. */
-const INVALID: TransactionStep = {
+const INVALID: StatementOutcome = {
   result: failure('aborted', 'a message that the pooler does not know'),
   state: 'idle',
 };
--- a/src/services/pooler/node/pooler_call.ts
+++ b/src/services/pooler/node/pooler_call.ts
@@ -3,9 +3,9 @@
 import type {SessionContext} from '../../gateway/node/session_context';
 import type {CallerReply} from '../../statement/common/statement';
 import {decodeReply} from '../common/pooler_messages';
-import type {PoolerWish} from '../common/choose_pooler';
+import type {PoolerRequirements} from '../common/pooler_ranking';
 import type {PoolerDirectory} from './pooler_directory';
-import type {PoolerLink, WaitTerms} from './pooler_link';
+import type {PoolerLink, SendOptions} from './pooler_link';
 
 /**
  * After a start or a loss, links to poolers open within some tens of
@@ -17,7 +17,7 @@
 const ANSWER_WAY_MS = 60;
 
 /** One statement on its way to a pooler. */
-export interface PoolerCall extends WaitTerms {
+export interface PoolerCall extends SendOptions {
   readonly link: PoolerLink;
   readonly request: WorkRequest;
   /** On the session's clock, in milliseconds. */
@@ -28,19 +28,19 @@
  * A usable link, after a short wait where one is being opened; undefined where
  * the work is done here.
  */
-export function* takeLink(
+export function* acquireLink(
   directory: PoolerDirectory,
   {clock}: SessionContext,
-  wish: PoolerWish,
-  passed: ReadonlySet<PoolerLink>,
+  requirements: PoolerRequirements,
+  excluded: ReadonlySet<PoolerLink>,
 ): Task<PoolerLink | undefined> {
   const until = clock.now() + LINK_WAIT_MS;
   for (;;) {
     const mayWait = clock.now() < until;
-    const chosen = directory.choose(wish, passed, mayWait);
+    const chosen = directory.selectLink(requirements, excluded, mayWait);
     if (chosen === 'here') return undefined;
     if (chosen) return chosen;
-    if (!mayWait || !directory.isConnecting(wish)) return undefined;
+    if (!mayWait || !directory.isConnecting(requirements)) return undefined;
     yield* pause(LINK_LOOK_MS);
   }
 }
@@ -51,24 +51,24 @@
  * back is the session's newest commit.
  */
 export function* callPooler(
-  {clock, memory, gone}: SessionContext,
-  {link, request, deadline, repeatable}: PoolerCall,
+  {clock, sessionState, callerGone}: SessionContext,
+  {link, request, deadline, isRetryable}: PoolerCall,
 ): Task<CallerReply | undefined> {
   const timeMs = Math.max(0, deadline - clock.now()) + ANSWER_WAY_MS;
-  const abandon = () => link.abandon(request.work);
+  const abandon = () => link.cancel(request.work);
   // Also where the caller has left: a pooler may never answer.
   const timer = setTimeout(abandon, timeMs);
-  const answer = link.send(request, {repeatable});
+  const answer = link.send(request, {isRetryable});
   // A later step runs at its member: breaking it off would waste that.
   const mayWait = request.scope !== WorkScope.WORK_SCOPE_CONTINUE;
-  if (mayWait && gone.aborted) abandon();
-  else if (mayWait) gone.addEventListener('abort', abandon, {once: true});
+  if (mayWait && callerGone.aborted) abandon();
+  else if (mayWait) callerGone.addEventListener('abort', abandon, {once: true});
   const done = yield* settled(answer);
-  gone.removeEventListener('abort', abandon);
+  callerGone.removeEventListener('abort', abandon);
   clearTimeout(timer);
   const reply = 'value' in done ? done.value : undefined;
   if (!reply) return undefined;
   const outcome = decodeReply(reply);
-  memory.onCommit(outcome.position, clock.now());
+  sessionState.recordCommit(outcome.position, clock.now());
   return outcome;
 }
--- a/src/services/pooler/node/pooler_directory.ts
+++ b/src/services/pooler/node/pooler_directory.ts
@@ -1,16 +1,19 @@
 import type {Clock} from '../../../base/common/clock';
 import {EntriesByService} from '../../fleet_link/common/entries_by_service';
-import {POOLERS, type FleetPoolers} from '../../fleet_link/common/fleet_lists';
+import {
+  POOLER_COMPARER,
+  type FleetPoolers,
+} from '../../fleet_link/common/fleet_lists';
 import type {Log} from '../../../base/node/log';
 import {after, every} from '../../../base/node/timers';
 import type {PoolerEntry} from '../../../schema/generated/fleet';
 import {SHARED_USER} from '../../target_link/common/target_link';
 import {
-  NearestFirst,
-  OneForAccount,
-  type PoolerWish,
-  type Whereabouts,
-} from '../common/choose_pooler';
+  NearestPoolerRanking,
+  AccountAffinityRanking,
+  type PoolerRequirements,
+  type ProxyLocation,
+} from '../common/pooler_ranking';
 import {PoolerLink, type LinkState} from './pooler_link';
 
 /**
@@ -36,28 +39,28 @@
 
 /** The poolers that this proxy sends work to, and its links to them. */
 export class PoolerDirectory {
-  private readonly poolers = new EntriesByService(POOLERS);
+  private readonly poolers = new EntriesByService(POOLER_COMPARER);
   /** Orders by service, then by user and the region of the primary. */
   private readonly ranked = new Map<string, Map<string, PoolerEntry[]>>();
   private addresses: ReadonlySet<string> = new Set();
   private readonly own = new Set<string>();
   /** Services that callers here use, by connections that are for anybody. */
   private readonly used = new Set<string>();
-  private readonly nearest: NearestFirst;
-  private readonly byAccount: OneForAccount;
+  private readonly nearest: NearestPoolerRanking;
+  private readonly byAccount: AccountAffinityRanking;
   /** When poolers were last lost, by their addresses. */
   private readonly lostAt = new Map<string, number>();
   private readonly links = new Map<string, PoolerLink>();
   private readonly paused = new Set<string>();
 
   constructor(
-    private readonly here: Whereabouts,
+    private readonly here: ProxyLocation,
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly signal: AbortSignal,
   ) {
-    this.nearest = new NearestFirst(here);
-    this.byAccount = new OneForAccount(here);
+    this.nearest = new NearestPoolerRanking(here);
+    this.byAccount = new AccountAffinityRanking(here);
     every(signal, TEND_MS, () => this.tend());
   }
 
@@ -67,7 +70,7 @@
    * proxy all services times all poolers.
    */
   setPoolers({poolers}: FleetPoolers): void {
-    for (const service of this.poolers.take(poolers)) {
+    for (const service of this.poolers.update(poolers)) {
       this.ranked.delete(service);
     }
     this.addresses = new Set(poolers.map(({address}) => address));
@@ -83,13 +86,13 @@
   }
 
   /** Links to poolers that answer at present. */
-  get reached(): number {
+  get readyLinkCount(): number {
     return [...this.links.values()].filter(link => link.state === 'ready')
       .length;
   }
 
   /** Services that this proxy keeps connections for. */
-  get pooledHere(): string[] {
+  get pooledServices(): string[] {
     return [...this.own];
   }
 
@@ -99,19 +102,19 @@
    *
    * @param mayWait Whether a link that is being opened is worth waiting for.
    */
-  choose(
-    wish: PoolerWish,
-    passed: ReadonlySet<PoolerLink>,
+  selectLink(
+    requirements: PoolerRequirements,
+    excluded: ReadonlySet<PoolerLink>,
     mayWait: boolean,
   ): PoolerLink | 'here' | undefined {
-    const isShared = wish.user === SHARED_USER;
-    if (isShared) this.use(wish.service);
+    const isShared = requirements.user === SHARED_USER;
+    if (isShared) this.use(requirements.service);
     let second: PoolerLink | undefined;
-    for (const {address, instance} of this.rank(wish)) {
+    for (const {address, instance} of this.rank(requirements)) {
       if (instance === this.here.instance) return second ?? 'here';
       if (!isShared) this.open(address);
       const link = this.links.get(address);
-      if (!link || passed.has(link)) continue;
+      if (!link || excluded.has(link)) continue;
       const {state} = link;
       if (state === 'ready') return link;
       if (state === 'recovering') second ??= link;
@@ -122,13 +125,13 @@
   }
 
   /** Links that work may go to, in the order of preference. */
-  readyLinks(wish: PoolerWish): PoolerLink[] {
+  readyLinks(wish: PoolerRequirements): PoolerLink[] {
     const links = this.rank(wish).map(({address}) => this.links.get(address));
     return links.filter(link => link?.state === 'ready') as PoolerLink[];
   }
 
   /** Whether a link is being opened that could serve soon. */
-  isConnecting(wish: PoolerWish): boolean {
+  isConnecting(wish: PoolerRequirements): boolean {
     return this.rank(wish).some(({address}) => {
       return this.links.get(address)?.state === 'connecting';
     });
@@ -141,7 +144,7 @@
     this.tend();
   }
 
-  private rank(wish: PoolerWish): readonly PoolerEntry[] {
+  private rank(wish: PoolerRequirements): readonly PoolerEntry[] {
     const {service, user, needsPrimary} = wish;
     const isShared = user === SHARED_USER;
     const isPrimary = needsPrimary && !isShared;
@@ -151,7 +154,7 @@
     const known = orders.get(key);
     if (known) return known;
     const choice = isShared ? this.nearest : this.byAccount;
-    const ranked = choice.rank(this.poolers.of(service), wish);
+    const ranked = choice.rank(this.poolers.get(service), wish);
     if (orders.size >= MOST_RANKS) orders.clear();
     this.ranked.set(service, orders.set(key, ranked));
     return ranked;
@@ -174,7 +177,7 @@
     }
     for (const address of wanted) this.open(address);
     for (const [address, link] of this.links) {
-      const isNeeded = wanted.has(address) || link.underWay > 0;
+      const isNeeded = wanted.has(address) || link.pendingCount > 0;
       if (!isNeeded && !this.addresses.has(address)) link.close();
     }
   }
@@ -217,6 +220,6 @@
   }
 }
 
-function sharedWish(service: string): PoolerWish {
+function sharedWish(service: string): PoolerRequirements {
   return {service, user: SHARED_USER, needsPrimary: false};
 }
--- a/src/services/pooler/node/pooler_link.ts
+++ b/src/services/pooler/node/pooler_link.ts
@@ -25,12 +25,12 @@
   | 'closed';
 
 /** How an answer is waited for. */
-export interface WaitTerms {
+export interface SendOptions {
   /** Sent elsewhere where the pooler falls silent; writes are not. */
-  readonly repeatable: boolean;
+  readonly isRetryable: boolean;
 }
 
-interface Waiting extends WaitTerms {
+interface Waiting extends SendOptions {
   settle(reply: WorkReply | undefined): void;
 }
 
@@ -103,17 +103,20 @@
   }
 
   /** Statements that were sent and not answered. */
-  get underWay(): number {
+  get pendingCount(): number {
     return this.waiting.size;
   }
 
   /** A name for new work on this link. */
-  nextWork(): number {
+  nextWorkId(): number {
     return ++this.works;
   }
 
   /** Sends a statement; undefined where its answer will not come. */
-  send(request: WorkRequest, terms: WaitTerms): Promise<WorkReply | undefined> {
+  send(
+    request: WorkRequest,
+    terms: SendOptions,
+  ): Promise<WorkReply | undefined> {
     if (this.closed || this.waiting.size >= MOST_UNDER_WAY) {
       return Promise.resolve(undefined);
     }
@@ -125,7 +128,7 @@
   }
 
   /** Tells the pooler that nothing more is wanted of a piece of work. */
-  abandon(work: number): void {
+  cancel(work: number): void {
     this.settle(work, undefined);
     this.write({$case: 'abandoned', value: {work}});
   }
@@ -159,8 +162,8 @@
 
   private onSilence(): void {
     this.silentAt = this.clock.now();
-    for (const [work, {repeatable}] of [...this.waiting]) {
-      if (repeatable) this.abandon(work);
+    for (const [work, {isRetryable}] of [...this.waiting]) {
+      if (isRetryable) this.cancel(work);
     }
   }
 
@@ -169,7 +172,7 @@
     this.noteHeard();
     switch (body?.$case) {
       case 'reply':
-        this.waits.note(body.value.waits, this.heardAt);
+        this.waits.update(body.value.waits, this.heardAt);
         this.settle(body.value.work, body.value);
         break;
       case 'leaving':
--- a/src/services/pooler/node/pooler_server.ts
+++ b/src/services/pooler/node/pooler_server.ts
@@ -46,7 +46,7 @@
   }
 
   /** Undoes the transactions that are still open. */
-  cut(): void {
+  abortAll(): void {
     for (const peer of this.peers) peer.giveUpAll('this instance stops');
   }
 
@@ -91,7 +91,7 @@
   }
 
   giveUpAll(reason: string): void {
-    for (const work of this.works.values()) work.giveUp(reason);
+    for (const work of this.works.values()) work.cancel(reason);
   }
 
   /**
@@ -110,7 +110,7 @@
         return this.onWork(body.value);
       case 'abandoned': {
         const {work} = body.value;
-        this.works.get(work)?.giveUp('its proxy gave it up');
+        this.works.get(work)?.cancel('its proxy gave it up');
         this.works.delete(work);
         return;
       }
@@ -133,7 +133,7 @@
 
   private waitsFor({service}: PooledWork): WorkWait[] {
     if (service === undefined) return [];
-    return this.report.next(service, this.gateway.waitsOf(service));
+    return this.report.nextEntries(service, this.gateway.queueWaitsOf(service));
   }
 
   private write(body: PoolerResponse['body']): void {
--- a/src/services/pooler/test/common/pooler_plan.test.ts
+++ b/src/services/pooler/test/common/pooler_plan.test.ts
@@ -1,12 +1,12 @@
 import {describe, expect, it} from 'vitest';
 import {SeededRandom} from '../../../../base/common/random';
 import type {PoolerEntry} from '../../../../schema/generated/fleet';
-import {planPoolers, type Candidate} from '../../common/pooler_plan';
+import {planPoolers, type PoolerCandidate} from '../../common/pooler_plan';
 import {PoolerPlanner} from '../../common/pooler_planner';
 
 const SITES = ['a1', 'a2', 'b1', 'b2', 'c1', 'c2'];
 
-function makeProxies(count: number): Candidate[] {
+function makeProxies(count: number): PoolerCandidate[] {
   return [...Array(count).keys()].map(at => ({
     instance: `p${at}`,
     site: SITES[at % SITES.length]!,
--- a/src/services/pooler/test/common/choose_pooler.test.ts
+++ b/src/services/pooler/test/common/pooler_ranking.test.ts
@@ -2,11 +2,11 @@
 import {memberUser} from '../../../../base/common/ids';
 import type {PoolerEntry} from '../../../../schema/generated/fleet';
 import {
-  NearestFirst,
-  OneForAccount,
-  type PoolerWish,
-  type Whereabouts,
-} from '../../common/choose_pooler';
+  NearestPoolerRanking,
+  AccountAffinityRanking,
+  type PoolerRequirements,
+  type ProxyLocation,
+} from '../../common/pooler_ranking';
 
 /** Sites are named by their region and a number. */
 const SITES = ['a1', 'a2', 'b1', 'b2', 'c1', 'c2'];
@@ -18,7 +18,7 @@
   site,
 }));
 
-function makePlace(site: string, primaryRegion?: string): Whereabouts {
+function makePlace(site: string, primaryRegion?: string): ProxyLocation {
   return {
     instance: `proxy-${site}`,
     site,
@@ -27,7 +27,7 @@
   };
 }
 
-function makeWish(user: string, needsPrimary = false): PoolerWish {
+function makeWish(user: string, needsPrimary = false): PoolerRequirements {
   return {service: 's0', user: memberUser(user), needsPrimary};
 }
 
@@ -35,7 +35,7 @@
 
 describe('the poolers of shared connections', () => {
   it('go from the own site to the region and to the others', () => {
-    const ranked = new NearestFirst(makePlace('a2')).rank(
+    const ranked = new NearestPoolerRanking(makePlace('a2')).rank(
       POOLERS,
       makeWish('anybody'),
     );
@@ -45,8 +45,12 @@
 });
 
 describe('the poolers of an account', () => {
-  const firstFrom = (site: string, wish: PoolerWish, primary?: string) => {
-    const choice = new OneForAccount(makePlace(site, primary));
+  const firstFrom = (
+    site: string,
+    wish: PoolerRequirements,
+    primary?: string,
+  ) => {
+    const choice = new AccountAffinityRanking(makePlace(site, primary));
     return choice.rank(POOLERS, wish)[0]!.site;
   };
 
@@ -83,7 +87,7 @@
 
   it('change for few accounts when a pooler is lost', () => {
     const without = POOLERS.filter(({site}) => site !== 'a1');
-    const choice = new OneForAccount(makePlace('a2'));
+    const choice = new AccountAffinityRanking(makePlace('a2'));
     for (const account of ACCOUNTS) {
       const before = choice.rank(POOLERS, makeWish(account))[0]!.site;
       const after = choice.rank(without, makeWish(account))[0]!.site;
--- a/src/services/pooler/test/node/pooler.test.ts
+++ b/src/services/pooler/test/node/pooler.test.ts
@@ -10,7 +10,7 @@
 import {FakeLimits} from '../../../gateway/test/node/fake_limits';
 import {
   BEGIN,
-  Caller,
+  TestCaller,
   COMMIT,
   makeCatalog,
   makeRoute,
@@ -70,7 +70,7 @@
       instance,
       limits: this.limits,
     });
-    const {logged} = this.gateway;
+    const {captured: logged} = this.gateway;
     this.server = new PoolerServer(
       this.gateway.gateway,
       logged.log,
@@ -126,7 +126,7 @@
     primaryRegionOf: () => undefined,
     regionOf: (site: string) => site,
   };
-  const {log} = near.gateway.logged;
+  const {log} = near.gateway.captured;
   directory = new PoolerDirectory(here, clock, log, stop.signal);
   edgeLimits = new FakeLimits();
   edgeGroup = new FakeGroup(['a', 'b', 'c']);
@@ -149,16 +149,16 @@
 
 /** One statement and one transaction. */
 async function edgeRun(): Promise<void> {
-  const caller = new Caller(edge, 'db');
-  await caller.ask(WRITE);
-  await caller.ask(BEGIN);
-  await caller.ask(WRITE);
-  await caller.ask(COMMIT);
+  const caller = new TestCaller(edge, 'db');
+  await caller.send(WRITE);
+  await caller.send(BEGIN);
+  await caller.send(WRITE);
+  await caller.send(COMMIT);
 }
 
 /** Why work was refused at a pooler. */
 function refusalsAt({gateway}: TestPooler): unknown[] {
-  const refused = gateway.logged.lines.filter(line => {
+  const refused = gateway.captured.lines.filter(line => {
     return line.startsWith('Refused, not run.');
   });
   return refused.map(line => JSON.parse(line.slice(18)).reason as unknown);
@@ -168,16 +168,16 @@
 
 describe('a session at a proxy without connections', () => {
   it('runs statements and transactions at the pooler of its site', async () => {
-    const caller = new Caller(edge, 'db');
-    const written = await caller.ask(WRITE);
+    const caller = new TestCaller(edge, 'db');
+    const written = await caller.send(WRITE);
     expect(written.result).toMatchObject({signature: 'signed q1'});
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
-    const read = await caller.ask(READ);
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
+    const read = await caller.send(READ);
     expect(read).toMatchObject({state: 'open', result: {rows: ['row']}});
-    const done = await caller.ask(COMMIT);
+    const done = await caller.send(COMMIT);
     expect(done).toMatchObject({state: 'idle', result: {kind: 'done'}});
-    const links = group.runs.slice(1).map(({link}) => link);
+    const links = group.executed.slice(1).map(({link}) => link);
     expect(new Set(links).size).toBe(1);
     expect(near.server.workCount).toBe(0);
   });
@@ -192,36 +192,36 @@
   it('reads its own commit, which it made through a pooler', async () => {
     // A session writes and reads at once. The replicas lag; a pooler that did
     // not hear of the session's own commit would read without it.
-    const caller = new Caller(edge, 'db');
-    const written = await caller.ask(WRITE);
+    const caller = new TestCaller(edge, 'db');
+    const written = await caller.send(WRITE);
     expect(written.position).toEqual(group.member('a').position);
-    await caller.ask(READ);
-    expect(group.runs.at(-1)!.instance).toBe('a');
+    await caller.send(READ);
+    expect(group.executed.at(-1)!.instance).toBe('a');
   });
 
   it('brings its values and prepared statements along', async () => {
-    const caller = new Caller(edge, 'db');
-    await caller.ask({kind: 'set', name: 'zone', value: '1'});
-    await caller.ask({
+    const caller = new TestCaller(edge, 'db');
+    await caller.send({kind: 'set', name: 'zone', value: '1'});
+    await caller.send({
       kind: 'prepare',
       name: 's1',
       action: 'write',
       shape: 'q',
     });
     const execute = {kind: 'execute', name: 's1', item: 'k'} as const;
-    const done = await caller.ask({...execute, data: 'x'});
+    const done = await caller.send({...execute, data: 'x'});
     expect(done.result.kind).toBe('done');
-    const other = new Caller(edge, 'db');
-    await other.ask(WRITE);
-    expect(group.runs.map(({values}) => values)).toEqual(['zone=1', '']);
+    const other = new TestCaller(edge, 'db');
+    await other.send(WRITE);
+    expect(group.executed.map(({values}) => values)).toEqual(['zone=1', '']);
   });
 
   it('keeps nothing of a transaction that its caller rolls back', async () => {
-    const caller = new Caller(edge, 'db');
+    const caller = new TestCaller(edge, 'db');
     const before = group.member('a').position;
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
-    await caller.ask(ROLLBACK);
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
+    await caller.send(ROLLBACK);
     await pause(50);
     expect(group.member('a').position).toEqual(before);
     expect(near.server.workCount).toBe(0);
@@ -230,9 +230,9 @@
   it('gives the connection back when its caller leaves', async () => {
     // A caller leaves in the middle of a transaction. The pooler would hold
     // the connection, one of a few for all proxies, for nobody.
-    const caller = new Caller(edge, 'db');
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
+    const caller = new TestCaller(edge, 'db');
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
     caller.leave();
     await pause(50);
     expect(near.server.workCount).toBe(0);
@@ -244,47 +244,47 @@
     // There is no primary for a moment, so a write waits at the pooler. Its
     // caller leaves. Once there is a primary again, the write would get one of
     // the few connections and run for nobody, while others wait.
-    near.gateway.name('');
-    const caller = new Caller(edge, 'db');
-    void caller.ask(WRITE);
+    near.gateway.setPrimary('');
+    const caller = new TestCaller(edge, 'db');
+    void caller.send(WRITE);
     await pause(50);
     expect(near.server.workCount).toBe(1);
     caller.leave();
     await pause(50);
     expect(near.server.workCount).toBe(0);
     expect(refusalsAt(near)).toEqual(['abandoned']);
-    near.gateway.name('a');
+    near.gateway.setPrimary('a');
     await pause(50);
-    expect(group.callerRuns).toEqual([]);
+    expect(group.callerStatements).toEqual([]);
   });
 
   it('leaves the queue with the proxy that sent it', async () => {
-    near.gateway.name('');
-    void new Caller(edge, 'db').ask(WRITE);
+    near.gateway.setPrimary('');
+    void new TestCaller(edge, 'db').send(WRITE);
     await pause(50);
     stop.abort();
     await pause(50);
     expect(refusalsAt(near)).toEqual(['abandoned']);
-    near.gateway.name('a');
+    near.gateway.setPrimary('a');
     await pause(50);
-    expect(group.callerRuns).toEqual([]);
+    expect(group.callerStatements).toEqual([]);
   });
 
   it('holds no connection once its transaction was given up', async () => {
     // The same with the first statement of a transaction. It would begin when
     // there is a primary again, and nobody would ever end it.
-    near.gateway.name('');
-    const caller = new Caller(edge, 'db');
-    await caller.ask(BEGIN);
-    void caller.ask(WRITE);
+    near.gateway.setPrimary('');
+    const caller = new TestCaller(edge, 'db');
+    await caller.send(BEGIN);
+    void caller.send(WRITE);
     await pause(50);
     caller.leave();
     await pause(50);
-    near.gateway.name('a');
+    near.gateway.setPrimary('a');
     await pause(50);
     expect(near.server.workCount).toBe(0);
     expect(refusalsAt(near)).toEqual(['abandoned']);
-    expect(group.callerRuns).toEqual([]);
+    expect(group.callerStatements).toEqual([]);
   });
 });
 
@@ -293,15 +293,15 @@
     // The begin takes a moment, and the caller leaves meanwhile. The pooler
     // forgot the transaction by the time at which it has begun: its statement
     // ran all the same, and its connection was held until the member's limit.
-    const caller = new Caller(edge, 'db');
-    await caller.ask(WRITE);
-    group.member('a').answersAfterMs = 60;
-    await caller.ask(BEGIN);
-    void caller.ask(WRITE);
+    const caller = new TestCaller(edge, 'db');
+    await caller.send(WRITE);
+    group.member('a').answerDelayMs = 60;
+    await caller.send(BEGIN);
+    void caller.send(WRITE);
     await pause(30);
     caller.leave();
     await pause(150);
-    expect(group.callerRuns).toHaveLength(1);
+    expect(group.callerStatements).toHaveLength(1);
   });
 });
 
@@ -310,12 +310,12 @@
     // A proxy dies, or is cut off, with a transaction under way. Nobody can
     // commit it any more; the pooler would hold its connection, and the member
     // its locks, until the member's own limit.
-    const caller = new Caller(edge, 'db');
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
+    const caller = new TestCaller(edge, 'db');
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
     stop.abort();
     await pause(100);
-    const failed = near.gateway.logged.lines.filter(line => {
+    const failed = near.gateway.captured.lines.filter(line => {
       return line.includes('the proxy that sent it is gone');
     });
     expect(failed).toHaveLength(1);
@@ -327,77 +327,81 @@
   it('costs a read a moment, and no more', async () => {
     // The pooler freezes with a read on its way. Its answer may come late or
     // never; the read goes to another pooler before its time is over.
-    const caller = new Caller(edge, 'db');
-    await caller.ask(READ);
+    const caller = new TestCaller(edge, 'db');
+    await caller.send(READ);
     near.freeze();
-    const read = await caller.ask(READ);
+    const read = await caller.send(READ);
     expect(read.result).toMatchObject({rows: ['row']});
     const next = Date.now();
-    await caller.ask(READ);
+    await caller.send(READ);
     expect(Date.now() - next).toBeLessThan(100);
   });
 
   it('is not the end of a read of which nobody knows whether it ran', async () => {
     // One pooler freezes with a read on its way, the other one is gone, and the
     // members have no room for this proxy. That it did not run could be false.
-    const caller = new Caller(edge, 'db');
-    await caller.ask(READ);
+    const caller = new TestCaller(edge, 'db');
+    await caller.send(READ);
     near.freeze();
     far.end();
     await pause(50);
-    for (const name of ['a', 'b', 'c']) edgeGroup.member(name).busyFor = 100;
-    const read = await caller.ask(READ);
+    for (const name of ['a', 'b', 'c']) {
+      edgeGroup.member(name).busyAnswers = 100;
+    }
+    const read = await caller.send(READ);
     expect(read.result).toMatchObject({failure: 'timeout'});
   });
 
   it('leaves the outcome of a write unknown, and runs it once', async () => {
     // The pooler freezes with a write on its way and may run it when it wakes
     // up: sent to another pooler, the write could take effect twice.
-    const caller = new Caller(edge, 'db');
-    await caller.ask(READ);
+    const caller = new TestCaller(edge, 'db');
+    await caller.send(READ);
     near.freeze();
-    const written = await caller.ask(WRITE);
+    const written = await caller.send(WRITE);
     expect(written.result).toMatchObject({failure: 'unknown outcome'});
-    expect(group.runs.filter(({text}) => text.startsWith('write'))).toEqual([]);
+    expect(group.executed.filter(({text}) => text.startsWith('write'))).toEqual(
+      [],
+    );
   });
 
   it('aborts a transaction under way, and begins a new one elsewhere', async () => {
     // The pooler dies with a transaction open. Nothing of it is kept, so the
     // caller is told to repeat it; a new one goes to the other pooler.
-    const caller = new Caller(edge, 'db');
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
+    const caller = new TestCaller(edge, 'db');
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
     near.end();
-    const lost = await caller.ask(WRITE);
+    const lost = await caller.send(WRITE);
     expect(lost).toMatchObject({
       state: 'failed',
       result: {failure: 'aborted'},
     });
-    await caller.ask(ROLLBACK);
-    await caller.ask(BEGIN);
-    expect((await caller.ask(WRITE)).result.kind).toBe('done');
-    expect((await caller.ask(COMMIT)).result.kind).toBe('done');
+    await caller.send(ROLLBACK);
+    await caller.send(BEGIN);
+    expect((await caller.send(WRITE)).result.kind).toBe('done');
+    expect((await caller.send(COMMIT)).result.kind).toBe('done');
   });
 
   it('gets no new work once it says that it stops', async () => {
-    const caller = new Caller(edge, 'db');
-    await caller.ask(BEGIN);
-    await caller.ask(WRITE);
+    const caller = new TestCaller(edge, 'db');
+    await caller.send(BEGIN);
+    await caller.send(WRITE);
     near.server.drain();
     await pause(50);
-    const other = new Caller(edge, 'db');
-    await other.ask(READ);
+    const other = new TestCaller(edge, 'db');
+    await other.send(READ);
     expect(near.server.workCount).toBe(1);
-    expect((await caller.ask(COMMIT)).result.kind).toBe('done');
+    expect((await caller.send(COMMIT)).result.kind).toBe('done');
   });
 
   it('is done without where none is left', async () => {
-    const caller = new Caller(edge, 'strict');
-    await caller.ask(READ);
+    const caller = new TestCaller(edge, 'strict');
+    await caller.send(READ);
     near.end();
     far.end();
     await pause(50);
-    const read = await caller.ask(READ);
+    const read = await caller.send(READ);
     expect(read.result).toMatchObject({rows: ['row']});
   });
 });
--- a/src/services/pooler/test/node/pooler_directory.test.ts
+++ b/src/services/pooler/test/node/pooler_directory.test.ts
@@ -7,7 +7,10 @@
 import type {PoolerEntry} from '../../../../schema/generated/fleet';
 import {makeLog} from '../../../gateway/test/node/session_fixture';
 import {SHARED_USER} from '../../../target_link/common/target_link';
-import {NearestFirst, OneForAccount} from '../../common/choose_pooler';
+import {
+  NearestPoolerRanking,
+  AccountAffinityRanking,
+} from '../../common/pooler_ranking';
 import {PoolerDirectory} from '../../node/pooler_directory';
 import type {PoolerLink} from '../../node/pooler_link';
 
@@ -51,8 +54,8 @@
   directory = new PoolerDirectory(here, new ManualClock(), log, stop.signal);
   poolers = makePoolers((server.address() as AddressInfo).port);
   ranks = [
-    vi.spyOn(NearestFirst.prototype, 'rank'),
-    vi.spyOn(OneForAccount.prototype, 'rank'),
+    vi.spyOn(NearestPoolerRanking.prototype, 'rank'),
+    vi.spyOn(AccountAffinityRanking.prototype, 'rank'),
   ];
 });
 
@@ -67,7 +70,7 @@
 
 function ask(service: string, user = SHARED_USER): void {
   const wish = {service, user, needsPrimary: false};
-  directory.choose(wish, NOT_PASSED, true);
+  directory.selectLink(wish, NOT_PASSED, true);
 }
 
 const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
--- a/src/services/pooler/test/node/wait_decision.test.ts
+++ b/src/services/pooler/test/node/pooler_selector.test.ts
@@ -2,23 +2,23 @@
 import {ManualClock} from '../../../../base/common/clock';
 import {callerName} from '../../../../base/common/ids';
 import {ClassAdmission} from '../../../admission/common/class_admission';
-import type {PlaceRefusal} from '../../../dispatch/common/place_request';
+import type {CheckoutRefusal} from '../../../dispatch/common/checkout_request';
 import type {SessionContext} from '../../../gateway/node/session_context';
 import {makeRoute} from '../../../gateway/test/node/session_fixture';
 import {SHARED_USER} from '../../../target_link/common/target_link';
 import {PoolerWaits} from '../../common/pooler_waits';
 import type {PoolerDirectory} from '../../node/pooler_directory';
 import type {PoolerLink} from '../../node/pooler_link';
-import {WaitDecision} from '../../node/wait_decision';
+import {PoolerSelector} from '../../node/pooler_selector';
 
 /** A proxy with two poolers, and a route that expects 1,000 ms. */
 class Proxy {
   readonly clock = new ManualClock();
   readonly near = makeLink('near');
   readonly far = makeLink('far');
-  readonly refused: PlaceRefusal[] = [];
+  readonly refused: CheckoutRefusal[] = [];
   private readonly classes = new ClassAdmission(this.clock);
-  private readonly decision = new WaitDecision({
+  private readonly decision = new PoolerSelector({
     readyLinks: () => [this.near, this.far],
   } as unknown as PoolerDirectory);
 
@@ -30,23 +30,25 @@
 
   tell(link: PoolerLink, waitMs: number): void {
     const word = {service: 'books', needsPrimary: true, priority: 1, waitMs};
-    link.waits.note([word], this.clock.now());
+    link.waits.update([word], this.clock.now());
   }
 
-  decide(): PoolerLink | PlaceRefusal {
+  decide(): PoolerLink | CheckoutRefusal {
     const now = this.clock.now();
     const context = {
       classes: this.classes,
       clock: this.clock,
       caller: callerName('c'),
-      greetingMs: () => 0,
-      journal: {
-        onRefused: (...[, , refusal]: [unknown, unknown, PlaceRefusal]) => {
+      startupWaitMs: () => 0,
+      telemetry: {
+        recordRefusal: (
+          ...[, , refusal]: [unknown, unknown, CheckoutRefusal]
+        ) => {
           this.refused.push(refusal);
         },
       },
     } as unknown as SessionContext;
-    return this.decision.decide(context, this.near, {
+    return this.decision.select(context, this.near, {
       route: makeRoute({priority: 1, objectiveMs: 1_000, statementMs: 2_000}),
       wish: {service: 'books', user: SHARED_USER, needsPrimary: true},
       since: now,
--- a/src/services/position/common/position.ts
+++ b/src/services/position/common/position.ts
@@ -20,7 +20,7 @@
 }
 
 /** The position before anything was written. */
-export const ORIGIN: Position = {term: 0, offset: 0};
+export const ORIGIN_POSITION: Position = {term: 0, offset: 0};
 
 /** Orders positions as logs are ordered: by term, then by offset. */
 export function comparePositions(a: Position, b: Position): number {
--- a/src/services/position/common/lineage.ts
+++ b/src/services/position/common/term_history.ts
@@ -7,7 +7,7 @@
  * before: where that one's primary was lost before anybody had its log, the
  * next goes on with an older one, and what was written in between is gone.
  */
-export class Lineage {
+export class TermHistory {
   private readonly starts: ReadonlyMap<number, TermStart>;
   /** The terms that the current log goes back to, with the log's limits. */
   private readonly limits = new Map<number, number>();
@@ -48,7 +48,7 @@
   }
 
   /** Whether the current log has the write at a position. */
-  holds({term, offset}: Position): boolean {
+  contains({term, offset}: Position): boolean {
     return this.includes(term) && offset <= this.commonOffset(term);
   }
 
--- a/src/services/promotion/common/verdict.ts
+++ b/src/services/promotion/common/assess_primary.ts
@@ -1,5 +1,5 @@
 /** What is known of a primary. */
-export interface PrimaryView {
+export interface PrimaryObservations {
   /** How long control has had no answer of it, in milliseconds. */
   readonly silentMs: number;
   /** Whether connections to it are refused: its process is gone. */
@@ -18,7 +18,7 @@
 }
 
 /** Whether a primary is to be replaced, and why. */
-export type Verdict =
+export type Assessment =
   {readonly kind: 'keep'} | {readonly kind: 'replace'; readonly reason: string};
 
 /** A process that refuses connections is gone; a restart takes longer. */
@@ -32,7 +32,7 @@
  * Judges a primary by control's own eyes and by those of the proxies. Either
  * alone may be cut off from it while it serves; a change would cost a gap.
  */
-export function judgePrimary(view: PrimaryView): Verdict {
+export function assessPrimary(view: PrimaryObservations): Assessment {
   const {proxies, complaints, refused, silentMs} = view;
   // Guard: a primary that starts again does so as a replica. It answers and is
   // not leaving, but nobody would ever serve writes again.
--- a/src/services/promotion/common/heir.ts
+++ b/src/services/promotion/common/choose_successor.ts
@@ -1,7 +1,7 @@
 import {comparePositions, type Position} from '../../position/common/position';
 
 /** What one member whose log counts said in this attempt. */
-export interface MemberAnswer {
+export interface MemberLogState {
   readonly instance: string;
   readonly draining: boolean;
   /** What its log has received; undefined where it did not answer. */
@@ -14,15 +14,15 @@
 }
 
 /** What a choice is made from. */
-export interface HeirView {
+export interface SuccessorCandidates {
   /** The old primary; its answer counts only once it has stepped down. */
-  readonly oldPrimary: MemberAnswer | undefined;
+  readonly oldPrimary: MemberLogState | undefined;
   /** All other members, stopped before they answered. */
-  readonly replicas: readonly MemberAnswer[];
+  readonly replicas: readonly MemberLogState[];
 }
 
 /** Which member is to lead, or why none may yet. */
-export type HeirChoice =
+export type SuccessorChoice =
   | {readonly kind: 'promote'; readonly instance: string}
   | {readonly kind: 'wait'; readonly reason: string};
 
@@ -37,7 +37,10 @@
  * One that started again without its log is as good as missing: what it had
  * confirmed before is gone with its earlier life.
  */
-export function chooseHeir({oldPrimary, replicas}: HeirView): HeirChoice {
+export function chooseSuccessor({
+  oldPrimary,
+  replicas,
+}: SuccessorCandidates): SuccessorChoice {
   const answered = replicas.filter(({received}) => received !== undefined);
   const end = oldPrimary?.recovering ? undefined : oldPrimary?.received;
   if (end) {
@@ -60,7 +63,7 @@
 }
 
 /** The one with the most; of equals one that stays. */
-function best(members: readonly MemberAnswer[]): MemberAnswer | undefined {
+function best(members: readonly MemberLogState[]): MemberLogState | undefined {
   return [...members].sort((a, b) => {
     const byLog = comparePositions(b.received!, a.received!);
     return byLog || Number(a.draining) - Number(b.draining);
--- a/src/services/promotion/node/member_watch.ts
+++ b/src/services/promotion/node/member_monitor.ts
@@ -44,7 +44,7 @@
  * Control's own connection to one member: tells whether it answers and carries
  * orders to it. The question is one that takes no slot of the member.
  */
-export class MemberWatch {
+export class MemberMonitor {
   private link: TargetLink | undefined;
   private connecting = false;
   private pinging = false;
@@ -84,12 +84,12 @@
   }
 
   /** Whether its last refusal is newer than its last answer. */
-  get refused(): boolean {
+  get isRefusing(): boolean {
     return this.isRefused;
   }
 
   /** When it was connected again after a loss; -Infinity for the first time. */
-  get reopenedAt(): number {
+  get reconnectedAt(): number {
     return this.openings > 1 ? this.openedAt : -Infinity;
   }
 
@@ -105,7 +105,9 @@
    * a member without room is asked again, else each promotion would wait for
    * the next look at the whole service.
    */
-  async order(statement: TargetStatement): Promise<MemberStatus | undefined> {
+  async sendCommand(
+    statement: TargetStatement,
+  ): Promise<MemberStatus | undefined> {
     const until = this.clock.now() + ORDER_MS;
     for (;;) {
       const reply = await this.ask(statement);
@@ -167,7 +169,7 @@
         this.link = link;
         this.openings++;
         this.openedAt = this.clock.now();
-        this.onAnswer(link.openedAt);
+        this.onAnswer(link.positionAtOpen);
         link.onDidClose(() => {
           if (this.link === link) this.link = undefined;
           this.unansweredSince ??= this.clock.now();
--- a/src/services/promotion/node/promotion_authority.ts
+++ b/src/services/promotion/node/promotion_authority.ts
@@ -1,5 +1,5 @@
 /** An order to let a member lead. */
-export interface PromotionOrder {
+export interface PromotionRequest {
   readonly service: string;
   readonly instance: string;
   /** The control instance that gives the order. */
@@ -27,7 +27,7 @@
    *     the order is not sent.
    */
   promote(
-    order: PromotionOrder,
+    order: PromotionRequest,
     isFresh: () => boolean,
     signal: AbortSignal,
   ): Promise<PromotionOutcome>;
--- a/src/services/promotion/node/promotion_driver.ts
+++ b/src/services/promotion/node/promotion_driver.ts
@@ -1,10 +1,14 @@
 import {pause, settled, startTask, type Task} from '../../../base/node/task';
 import type {Member, PrimaryAssignment} from '../../../schema/generated/fleet';
 import {ClaimedRole} from '../../../schema/generated/fleet';
-import {judgePrimary} from '../common/verdict';
-import {findHeir, orderAll, type HeirFinding} from './heir_search';
-import {ORDER_FRESH_MS, PromotionOrdering} from './promotion_order';
-import type {PromotionSurroundings} from './promotion_surroundings';
+import {assessPrimary} from '../common/assess_primary';
+import {
+  findSuccessor,
+  sendToAll,
+  type SuccessorSearchResult,
+} from './successor_search';
+import {REQUEST_MAX_AGE_MS, PromotionRequests} from './promotion_requests';
+import type {PromotionDependencies} from './promotion_dependencies';
 
 const LOOK_MS = 100;
 /** The same reason to wait is logged at most this often, in milliseconds. */
@@ -20,15 +24,15 @@
 export class PromotionDriver {
   private said = {text: '', at: -Infinity};
   private readonly startedAt: number;
-  private readonly ordering: PromotionOrdering;
+  private readonly ordering: PromotionRequests;
   /** Replicas may be stopped by this leader or by one before it. */
   private mayBeStopped = true;
   /** The newest lead that was seen to lead after its order. */
   private carriedOut = 0;
 
-  constructor(private readonly around: PromotionSurroundings) {
+  constructor(private readonly around: PromotionDependencies) {
     this.startedAt = around.clock.now();
-    this.ordering = new PromotionOrdering(around);
+    this.ordering = new PromotionRequests(around);
   }
 
   start(signal: AbortSignal): Promise<void> {
@@ -44,7 +48,7 @@
   }
 
   private *look(signal: AbortSignal): Task<void> {
-    const lead = this.around.lead();
+    const lead = this.around.assignment();
     if (!lead) return yield* this.nameFirst();
     if (lead.pending && this.carriedOut !== lead.epoch) {
       return yield* this.finish(lead, signal);
@@ -52,16 +56,16 @@
     if (lead.pending) yield* this.settle(lead);
     const reason = yield* this.reasonToReplace(lead);
     if (reason) return yield* this.replace(lead, reason, signal);
-    if (this.around.isSpent()) yield* this.keep(lead);
+    if (this.around.isRevoked()) yield* this.keep(lead);
     else if (this.mayBeStopped) yield* this.resume(lead);
   }
 
   /** Before the first promotion the member leads that says so. */
   private *nameFirst(): Task<void> {
-    const claimant = this.around.claimant();
+    const claimant = this.around.claimedPrimary();
     if (!claimant) return;
     const {instance} = claimant;
-    yield* settled(this.around.nameLead(instance, false));
+    yield* settled(this.around.assignPrimary(instance, false));
   }
 
   private get isWarm(): boolean {
@@ -84,15 +88,15 @@
     const isPresent =
       heir !== undefined &&
       !heir.recovering &&
-      this.around.watchOf(heir).silentMs < PRESENT_MS;
+      this.around.monitorOf(heir).silentMs < PRESENT_MS;
     if (isPresent) yield* this.promote(instance, signal);
     else yield* this.replace(lead, 'the heir was lost', signal);
   }
 
   private *settle({epoch}: PrimaryAssignment): Task<void> {
-    const {orders} = this.around;
-    if (!orders.areFenced && !this.ordering.isSettled) return;
-    yield* settled(this.around.settleLead(epoch));
+    const {access} = this.around;
+    if (!access.isFenced && !this.ordering.isSettled) return;
+    yield* settled(this.around.completePromotion(epoch));
   }
 
   private *reasonToReplace({
@@ -100,14 +104,14 @@
   }: PrimaryAssignment): Task<string | undefined> {
     const primary = this.memberOf(instance);
     if (!primary) return this.isWarm ? 'it has left' : undefined;
-    const watch = this.around.watchOf(primary);
-    const verdict = judgePrimary({
+    const watch = this.around.monitorOf(primary);
+    const verdict = assessPrimary({
       silentMs: watch.silentMs,
-      refused: watch.refused,
+      refused: watch.isRefusing,
       draining: primary.draining,
       denies: yield* this.denies(primary),
-      ...this.around.complaintsOf(instance),
-      isRevoked: this.around.isSpent(),
+      ...this.around.failureReportsOf(instance),
+      isRevoked: this.around.isRevoked(),
     });
     if (verdict.kind === 'keep') return undefined;
     return this.isWarm || primary.draining ? verdict.reason : undefined;
@@ -117,16 +121,16 @@
   private *denies(primary: Member): Task<boolean> {
     const {around} = this;
     if (primary.role === ClaimedRole.CLAIMED_ROLE_PRIMARY) return false;
-    const [status] = yield* orderAll(around, [primary], {kind: 'status'});
-    if (status?.leads) around.onDidPromote(primary.instance);
-    return status !== undefined && !status.leads;
+    const [status] = yield* sendToAll(around, [primary], {kind: 'status'});
+    if (status?.isPrimary) around.onDidPromote(primary.instance);
+    return status !== undefined && !status.isPrimary;
   }
 
   /** Proxies may rely again on a primary that was to be replaced and is not. */
   private *keep({instance}: PrimaryAssignment): Task<void> {
     if (!(yield* this.ordering.leads(instance))) return;
     const {service, log} = this.around;
-    const named = yield* settled(this.around.nameLead(instance, false));
+    const named = yield* settled(this.around.assignPrimary(instance, false));
     const done = 'value' in named && named.value.isOk;
     log.info('Keeps a primary.', {service, instance, done});
     if (done) this.around.onDidPromote(instance);
@@ -137,7 +141,7 @@
   private *resume({instance}: PrimaryAssignment): Task<void> {
     if (!(yield* this.provesLead())) return;
     const others = this.othersThan(instance);
-    const statuses = yield* orderAll(this.around, others, {kind: 'resume'});
+    const statuses = yield* sendToAll(this.around, others, {kind: 'resume'});
     this.mayBeStopped = statuses.some(status => status === undefined);
   }
 
@@ -158,8 +162,8 @@
       return this.say('Cannot promote safely.', {...fields, why});
     }
     this.mayBeStopped = true;
-    around.revoke();
-    const found = yield* findHeir(around, lead.instance);
+    around.revokeLeases();
+    const found = yield* findSuccessor(around, lead.instance);
     const {answers} = found;
     if (found.kind === 'wait') {
       const why = found.reason;
@@ -178,20 +182,20 @@
    * successor is comparing. Costs a round of the log before each try.
    */
   private *provesLead(): Task<boolean> {
-    const done = yield* settled(this.around.confirm());
+    const done = yield* settled(this.around.confirmLeadership());
     return 'value' in done && done.value;
   }
 
   private hasSuccessor({instance}: PrimaryAssignment): boolean {
     return this.othersThan(instance).some(member => {
-      return this.around.watchOf(member).silentMs < PRESENT_MS;
+      return this.around.monitorOf(member).silentMs < PRESENT_MS;
     });
   }
 
   /** Waits until nobody can rely on the old lead; false where it may not. */
   private *mayOrder(
     lead: PrimaryAssignment,
-    found: HeirFinding & {kind: 'heir'},
+    found: SuccessorSearchResult & {kind: 'heir'},
     fields: Record<string, string>,
     signal: AbortSignal,
   ): Task<boolean> {
@@ -201,14 +205,14 @@
     // Where nobody refuses it then, it would depose the member that is chosen
     // now, and what that one acknowledged meanwhile would be lost.
     const isOpen = lead.pending && !ordering.isSettled;
-    if (isOther && isOpen && !around.orders.areFenced) {
+    if (isOther && isOpen && !around.access.isFenced) {
       const why = 'an earlier order may still be carried out';
       this.say('Cannot promote safely.', {...fields, why});
       return false;
     }
     const startedAt = around.clock.now();
     if (!found.hasSteppedDown) {
-      while (around.relying().length > 0 && !signal.aborted) {
+      while (around.leaseHolders().length > 0 && !signal.aborted) {
         yield* pause(LEASE_LOOK_MS);
       }
     }
@@ -221,11 +225,11 @@
     const {around, ordering} = this;
     const {service, log} = around;
     // An order of the leader before this one may go out for so long.
-    const fresh = this.startedAt + ORDER_FRESH_MS - around.clock.now();
+    const fresh = this.startedAt + REQUEST_MAX_AGE_MS - around.clock.now();
     if (fresh > 0) yield* pause(fresh);
-    const provenAt = around.orders.clock.now();
-    const lead = around.lead();
-    const named = yield* settled(around.nameLead(heir, true));
+    const provenAt = around.access.clock.now();
+    const lead = around.assignment();
+    const named = yield* settled(around.assignPrimary(heir, true));
     if (!('value' in named) || named.value.isErr) {
       return this.say('Cannot name a lead without a majority.', {service});
     }
--- a/src/services/promotion/node/promotion_order.ts
+++ b/src/services/promotion/node/promotion_requests.ts
@@ -1,7 +1,7 @@
 import {pause, settled, type Task} from '../../../base/node/task';
-import {orderAll} from './heir_search';
-import type {PromotionOrder, PromotionOutcome} from './promotion_authority';
-import type {PromotionSurroundings} from './promotion_surroundings';
+import {sendToAll} from './successor_search';
+import type {PromotionRequest, PromotionOutcome} from './promotion_authority';
+import type {PromotionDependencies} from './promotion_dependencies';
 
 /** An order without an answer is repeated, in milliseconds. */
 const REPEAT_MS = 250;
@@ -15,14 +15,14 @@
  * ms. Guard: an instance that was frozen between its decision and its order
  * would send a token that is lower than the next leader's.
  */
-export const ORDER_FRESH_MS = 300;
+export const REQUEST_MAX_AGE_MS = 300;
 
 /** The orders of one service's promotions, and which may still be carried out. */
-export class PromotionOrdering {
+export class PromotionRequests {
   /** Copies of orders to the lead in force may be carried out until then. */
   private lateUntil: number;
 
-  constructor(private readonly around: PromotionSurroundings) {
+  constructor(private readonly around: PromotionDependencies) {
     this.lateUntil = around.clock.now() + LATE_ORDER_MS;
   }
 
@@ -75,21 +75,21 @@
       return other.instance === instance;
     });
     if (!member) return false;
-    const [status] = yield* orderAll(this.around, [member], {kind: 'status'});
-    return status?.leads === true;
+    const [status] = yield* sendToAll(this.around, [member], {kind: 'status'});
+    return status?.isPrimary === true;
   }
 
   private *send(
-    order: PromotionOrder,
+    order: PromotionRequest,
     provenAt: number,
     signal: AbortSignal,
   ): Task<PromotionOutcome> {
-    const {clock, orders} = this.around;
-    const isFresh = () => orders.clock.now() - provenAt < ORDER_FRESH_MS;
+    const {clock, access} = this.around;
+    const isFresh = () => access.clock.now() - provenAt < REQUEST_MAX_AGE_MS;
     const before = this.lateUntil;
     this.lateUntil = clock.now() + LATE_ORDER_MS;
     const done = yield* settled(
-      orders.authority.promote(order, isFresh, signal),
+      access.authority.promote(order, isFresh, signal),
     );
     const outcome = 'value' in done ? done.value : 'unknown';
     // An answer says that this copy is not on its way; others may be.
@@ -98,9 +98,9 @@
   }
 
   private *prove(): Task<number | undefined> {
-    const {orders} = this.around;
-    const askedAt = orders.clock.now();
-    const done = yield* settled(this.around.confirm());
+    const {access} = this.around;
+    const askedAt = access.clock.now();
+    const done = yield* settled(this.around.confirmLeadership());
     return 'value' in done && done.value ? askedAt : undefined;
   }
 
--- a/src/services/promotion/test/common/verdict.test.ts
+++ b/src/services/promotion/test/common/assess_primary.test.ts
@@ -1,7 +1,12 @@
 import {describe, expect, it} from 'vitest';
-import {judgePrimary, type PrimaryView} from '../../common/verdict';
+import {
+  assessPrimary,
+  type PrimaryObservations,
+} from '../../common/assess_primary';
 
-const view = (over: Partial<PrimaryView> = {}): PrimaryView => ({
+const view = (
+  over: Partial<PrimaryObservations> = {},
+): PrimaryObservations => ({
   silentMs: 0,
   refused: false,
   draining: false,
@@ -13,8 +18,8 @@
   ...over,
 });
 
-const isReplaced = (over: Partial<PrimaryView>) => {
-  return judgePrimary(view(over)).kind === 'replace';
+const isReplaced = (over: Partial<PrimaryObservations>) => {
+  return assessPrimary(view(over)).kind === 'replace';
 };
 
 describe('the verdict on a primary', () => {
--- a/src/services/promotion/test/common/heir.test.ts
+++ b/src/services/promotion/test/common/choose_successor.test.ts
@@ -1,11 +1,14 @@
 import {describe, expect, it} from 'vitest';
-import {chooseHeir, type MemberAnswer} from '../../common/heir';
+import {
+  chooseSuccessor,
+  type MemberLogState,
+} from '../../common/choose_successor';
 
 const answer = (
   instance: string,
   offset: number | undefined,
-  more: Partial<MemberAnswer> = {},
-): MemberAnswer => ({
+  more: Partial<MemberLogState> = {},
+): MemberLogState => ({
   instance,
   draining: false,
   recovering: false,
@@ -17,7 +20,7 @@
 
 describe('the choice of an heir', () => {
   it('takes the replica that received the most', () => {
-    const choice = chooseHeir({
+    const choice = chooseSuccessor({
       oldPrimary: silent('a'),
       replicas: [answer('b', 7), answer('c', 9)],
     });
@@ -28,7 +31,7 @@
     // The primary dies together with replica c. A commit was acknowledged once
     // any one replica had it, so c may have it and b not. Promoting b now would
     // lose a lodgement that its caller was told is filed.
-    const choice = chooseHeir({
+    const choice = chooseSuccessor({
       oldPrimary: silent('a'),
       replicas: [answer('b', 7), silent('c')],
     });
@@ -36,7 +39,7 @@
   });
 
   it('does without the others where one reached the end of the log', () => {
-    const choice = chooseHeir({
+    const choice = chooseSuccessor({
       oldPrimary: answer('a', 9),
       replicas: [answer('b', 9), silent('c')],
     });
@@ -47,7 +50,7 @@
     // Replica b confirmed a commit that c never got, starts again with an
     // empty log, and the primary is lost. Both answer, but the commit is only
     // where the primary is: promoting c would lose a booking.
-    const choice = chooseHeir({
+    const choice = chooseSuccessor({
       oldPrimary: silent('a'),
       replicas: [answer('b', 0, {recovering: true}), answer('c', 9)],
     });
@@ -58,7 +61,7 @@
   });
 
   it('lets one lead that started again once it holds everything', () => {
-    const choice = chooseHeir({
+    const choice = chooseSuccessor({
       oldPrimary: answer('a', 9),
       replicas: [answer('b', 9, {recovering: true}), silent('c')],
     });
@@ -68,7 +71,7 @@
   it('takes no end of the log from a primary that started again', () => {
     // The primary crashes and starts again empty before anyone notices. Its
     // log ends below what its replicas hold; the most of them must lead.
-    const choice = chooseHeir({
+    const choice = chooseSuccessor({
       oldPrimary: answer('a', 0, {recovering: true}),
       replicas: [answer('b', 7), silent('c')],
     });
@@ -80,7 +83,7 @@
 
   it('compares terms before numbers', () => {
     const old = answer('b', 50, {received: {term: 2, offset: 50}});
-    const choice = chooseHeir({
+    const choice = chooseSuccessor({
       oldPrimary: silent('a'),
       replicas: [old, answer('c', 9)],
     });
@@ -89,12 +92,12 @@
 
   it('counts a leaving replica, and prefers one that stays', () => {
     const leaving = answer('b', 9, {draining: true});
-    const equal = chooseHeir({
+    const equal = chooseSuccessor({
       oldPrimary: silent('a'),
       replicas: [leaving, answer('c', 9)],
     });
     expect(equal).toEqual({kind: 'promote', instance: 'c'});
-    const ahead = chooseHeir({
+    const ahead = chooseSuccessor({
       oldPrimary: silent('a'),
       replicas: [leaving, answer('c', 8)],
     });
@@ -111,7 +114,7 @@
         for (const end of holds) {
           if (end !== undefined && end < acknowledged) continue;
           for (const [b, c] of silences(first, second)) {
-            const choice = chooseHeir({
+            const choice = chooseSuccessor({
               oldPrimary: answer('a', end),
               replicas: [answer('b', b), answer('c', c)],
             });
--- a/src/services/promotion/test/node/member_watch.test.ts
+++ b/src/services/promotion/test/node/member_monitor.test.ts
@@ -1,12 +1,12 @@
 import {afterEach, beforeEach, expect, it, vi} from 'vitest';
 import {ok, type Result} from '../../../../base/common/outcome';
-import {DONE_HERE} from '../../../statement/common/statement';
+import {DONE_LOCALLY} from '../../../statement/common/statement';
 import type {
   ConnectFailure,
   TargetConnector,
   TargetLink,
 } from '../../../target_link/common/target_link';
-import {MemberWatch, pingIntervalMs} from '../../node/member_watch';
+import {MemberMonitor, pingIntervalMs} from '../../node/member_monitor';
 
 /** A member that counts questions, and answers while it lives. */
 class CountingMember implements TargetConnector {
@@ -16,7 +16,7 @@
   connect(): Promise<Result<TargetLink, ConnectFailure>> {
     const link: TargetLink = {
       isClosed: false,
-      openedAt: undefined,
+      positionAtOpen: undefined,
       send: calls => calls.map(() => this.answer()),
       onDidClose: () => {},
       close: () => {},
@@ -27,7 +27,7 @@
   private answer() {
     this.asked++;
     if (this.isSilent) return new Promise<never>(() => {});
-    const result = DONE_HERE;
+    const result = DONE_LOCALLY;
     const state = 'idle' as const;
     const position = undefined;
     return Promise.resolve({kind: 'answer' as const, result, state, position});
@@ -56,7 +56,7 @@
   vi.useRealTimers();
 });
 
-function watch(members: number): MemberWatch {
+function watch(members: number): MemberMonitor {
   const entry = {
     instance: 'i',
     service: 'books',
@@ -68,7 +68,7 @@
     recovering: false,
     role: 2,
   };
-  return new MemberWatch(
+  return new MemberMonitor(
     entry,
     member,
     {read: () => undefined},
--- a/src/services/promotion/test/node/ordered_group.ts
+++ b/src/services/promotion/test/node/ordered_group.ts
@@ -2,7 +2,7 @@
 import type {Member} from '../../../../schema/generated/fleet';
 import type {Position} from '../../../position/common/position';
 import {
-  DONE_HERE,
+  DONE_LOCALLY,
   type StatementResult,
   type TargetCall,
   type TargetReply,
@@ -43,7 +43,7 @@
 
   /** Runs an order or a question of control. */
   run(kind: string): StatementResult {
-    if (kind === 'reset') return DONE_HERE;
+    if (kind === 'reset') return DONE_LOCALLY;
     if (kind !== 'status') this.orders.push(kind);
     if (kind === 'stepDown') this.isPrimary = false;
     return {kind: 'done', rows: [this.instance], signature: ''};
@@ -73,7 +73,11 @@
   read(result: StatementResult): MemberStatus | undefined {
     if (result.kind !== 'done') return undefined;
     const {isPrimary, position} = this.member(result.rows[0]!);
-    return {leads: isPrimary, term: position.term, received: position};
+    return {
+      isPrimary,
+      term: position.term,
+      receivedPosition: position,
+    };
   }
 }
 
@@ -84,7 +88,7 @@
 
   constructor(private readonly member: OrderedMember) {}
 
-  get openedAt(): Position {
+  get positionAtOpen(): Position {
     return this.member.position;
   }
 
--- a/src/services/promotion/test/node/promotion_driver.test.ts
+++ b/src/services/promotion/test/node/promotion_driver.test.ts
@@ -7,7 +7,7 @@
   PrimaryAssignment,
 } from '../../../../schema/generated/fleet';
 import {makeLog} from '../../../gateway/test/node/session_fixture';
-import {MemberWatch} from '../../node/member_watch';
+import {MemberMonitor} from '../../node/member_monitor';
 import {PromotionDriver} from '../../node/promotion_driver';
 import {OrderedGroup} from './ordered_group';
 
@@ -27,7 +27,7 @@
   isRevoked = false;
   complaints = 0;
   readonly promoted: string[] = [];
-  private readonly watches = new Map<string, MemberWatch>();
+  private readonly watches = new Map<string, MemberMonitor>();
 
   start(): void {
     this.group.member('a').isPrimary = true;
@@ -36,7 +36,7 @@
       holder: 'control-1',
       clock: this.clock,
       log: this.logged.log,
-      orders: {
+      access: {
         authority: {
           promote: ({instance}) => {
             this.promoted.push(instance);
@@ -44,30 +44,30 @@
             return Promise.resolve('accepted');
           },
         },
-        areFenced: true,
+        isFenced: true,
         clock: this.clock,
       },
       members: () => this.group.members.map(({record}) => record),
-      claimant: () => undefined,
-      lead: () => this.lead,
-      watchOf: member => this.watchOf(member),
-      complaintsOf: () => {
+      claimedPrimary: () => undefined,
+      assignment: () => this.lead,
+      monitorOf: member => this.watchOf(member),
+      failureReportsOf: () => {
         const {complaints} = this;
         return {proxies: 4, complaints, complainedMs: 0};
       },
-      revoke: () => {
+      revokeLeases: () => {
         this.isRevoked = true;
         this.complaints = 0;
       },
-      isSpent: () => this.isRevoked,
-      relying: () => [],
-      confirm: () => Promise.resolve(this.isConfirmed),
-      nameLead: (instance, ordered) => {
+      isRevoked: () => this.isRevoked,
+      leaseHolders: () => [],
+      confirmLeadership: () => Promise.resolve(this.isConfirmed),
+      assignPrimary: (instance, ordered) => {
         const epoch = this.lead.epoch + 1;
         this.lead = {service: 'books', instance, epoch, pending: ordered};
         return Promise.resolve(ok(epoch));
       },
-      settleLead: () => Promise.resolve(true),
+      completePromotion: () => Promise.resolve(true),
       onDidPromote: () => {
         this.isRevoked = false;
       },
@@ -75,12 +75,12 @@
     void driver.start(this.stop.signal);
   }
 
-  private watchOf(member: Member): MemberWatch {
+  private watchOf(member: Member): MemberMonitor {
     const {instance} = member;
     const known = this.watches.get(instance);
     if (known) return known;
     const {group, clock, stop} = this;
-    const watch = new MemberWatch(member, group, group, clock, stop.signal);
+    const watch = new MemberMonitor(member, group, group, clock, stop.signal);
     this.watches.set(instance, watch);
     return watch;
   }
--- a/src/services/roster/common/roster.ts
+++ b/src/services/roster/common/roster.ts
@@ -36,7 +36,7 @@
     return this.entries.get(instance)?.member;
   }
 
-  heardAt(instance: string): number {
+  lastHeardAt(instance: string): number {
     return this.entries.get(instance)?.heardAt ?? -Infinity;
   }
 
--- a/src/services/roster/test/common/roster.test.ts
+++ b/src/services/roster/test/common/roster.test.ts
@@ -31,7 +31,7 @@
   const {revision} = roster;
   roster.announce({member: member(), sequence: 2}, 10);
   expect(roster.revision).toBe(revision);
-  expect(roster.heardAt('m1')).toBe(10);
+  expect(roster.lastHeardAt('m1')).toBe(10);
 });
 
 it('takes a member that starts again under its name', () => {
--- a/src/services/routing/common/sample_history.ts
+++ b/src/services/routing/common/offset_history.ts
@@ -11,7 +11,7 @@
  * How old a replica's data are at most, without comparing clocks of machines:
  * whoever holds what the primary held when it was asked is as new as that.
  */
-export class SampleHistory {
+export class OffsetHistory {
   private samples: Sample[] = [];
   private frozenMs = 0;
   private frozenSince: number | undefined;
@@ -43,13 +43,13 @@
    * From when the first such answer came until the last one was asked for,
    * that was surely so.
    */
-  onClosed(askedAt: number, answeredAt: number): void {
+  onWritesBlocked(askedAt: number, answeredAt: number): void {
     this.frozenSince ??= answeredAt;
     this.frozenUntil = Math.max(this.frozenUntil, askedAt);
   }
 
   /** Writes may be acknowledged again, or may have been in between. */
-  onOpened(): void {
+  onWritesResumed(): void {
     if (this.frozenSince === undefined) return;
     this.frozenMs += Math.max(0, this.frozenUntil - this.frozenSince);
     this.frozenSince = undefined;
--- a/src/services/routing/common/outlier_ejection.ts
+++ b/src/services/routing/common/outlier_ejection.ts
@@ -48,7 +48,7 @@
   }
 
   /** How many transactions a target may run now. */
-  limitOf(instance: InstanceId, now: number): number {
+  concurrencyLimitOf(instance: InstanceId, now: number): number {
     const gentle = now < (this.targets.get(instance)?.gentleUntil ?? 0);
     return gentle ? RETURN_CONCURRENCY : Infinity;
   }
--- a/src/services/routing/common/router.ts
+++ b/src/services/routing/common/route_read.ts
@@ -1,29 +1,29 @@
 import type {InstanceId, SiteId} from '../../../base/common/ids';
 
 /** What a read needs. */
-export interface ReadDemand {
+export interface ReadRequirement {
   /** The age that its class accepts, 0 for the primary only. */
-  readonly ageMs: number;
+  readonly maxAgeMs: number;
   /** The offset that its session must see; undefined while unknown. */
-  readonly requiredOffset: number | undefined;
+  readonly minOffset: number | undefined;
   /** Rather older figures with a notice than none. */
-  readonly olderWithNotice: boolean;
+  readonly allowsOlder: boolean;
   readonly waitedMs: number;
 }
 
 /** What is known of a member that could serve a read. */
-export interface Candidate {
+export interface ReadCandidate {
   readonly instance: InstanceId;
   readonly isPrimary: boolean;
   /** It may take work: connected, not leaving, not drained, not ejected. */
-  readonly usable: boolean;
+  readonly isUsable: boolean;
   readonly appliedOffset: number;
   readonly ageMs: number;
   /** Connections that could start a transaction now. */
-  readonly free: number;
-  readonly running: number;
+  readonly freeCount: number;
+  readonly runningCount: number;
   /** One-way latency from this proxy, in milliseconds. */
-  readonly distanceMs: number;
+  readonly latencyMs: number;
   /** How long its applying usually lags, in milliseconds. */
   readonly lagMs: number;
 }
@@ -62,37 +62,39 @@
 
 /** Decides where a read goes; the same inputs give the same answer. */
 export function routeRead(
-  demand: ReadDemand,
-  candidates: readonly Candidate[],
+  demand: ReadRequirement,
+  candidates: readonly ReadCandidate[],
 ): RouteDecision {
-  const primary = candidates.find(({isPrimary, usable}) => isPrimary && usable);
-  if (demand.ageMs === 0) {
+  const primary = candidates.find(
+    ({isPrimary, isUsable}) => isPrimary && isUsable,
+  );
+  if (demand.maxAgeMs === 0) {
     return toPrimary(primary, 'primary: the class accepts no age');
   }
   const replicas = candidates.filter(candidate => {
-    return candidate.usable && !candidate.isPrimary;
+    return candidate.isUsable && !candidate.isPrimary;
   });
-  const {requiredOffset} = demand;
-  if (requiredOffset === undefined) {
+  const {minOffset} = demand;
+  if (minOffset === undefined) {
     return {kind: 'wait', reason: 'position at arrival unknown'};
   }
   const current = replicas.filter(({appliedOffset}) => {
-    return appliedOffset >= requiredOffset;
+    return appliedOffset >= minOffset;
   });
-  const fresh = current.filter(({ageMs}) => ageMs <= demand.ageMs);
+  const fresh = current.filter(({ageMs}) => ageMs <= demand.maxAgeMs);
   if (fresh.length > 0) return amongFresh(demand, fresh, primary);
   return withoutFresh(demand, replicas, current, primary);
 }
 
 function amongFresh(
-  demand: ReadDemand,
-  fresh: readonly Candidate[],
-  primary: Candidate | undefined,
+  demand: ReadRequirement,
+  fresh: readonly ReadCandidate[],
+  primary: ReadCandidate | undefined,
 ): RouteDecision {
-  const free = fresh.filter(candidate => candidate.free > 0);
+  const free = fresh.filter(candidate => candidate.freeCount > 0);
   const [best] = [...free].sort(byNearness);
   if (best) return go(best, 'replica within age');
-  const spare = primary !== undefined && primary.free > PRIMARY_RESERVE;
+  const spare = primary !== undefined && primary.freeCount > PRIMARY_RESERVE;
   if (spare && demand.waitedMs >= BUSY_PATIENCE_MS) {
     return go(primary, 'primary: replicas busy');
   }
@@ -100,19 +102,19 @@
 }
 
 function withoutFresh(
-  demand: ReadDemand,
-  replicas: readonly Candidate[],
-  current: readonly Candidate[],
-  primary: Candidate | undefined,
+  demand: ReadRequirement,
+  replicas: readonly ReadCandidate[],
+  current: readonly ReadCandidate[],
+  primary: ReadCandidate | undefined,
 ): RouteDecision {
-  const patience = Math.min(CATCH_UP_PATIENCE_MS, demand.ageMs);
+  const patience = Math.min(CATCH_UP_PATIENCE_MS, demand.maxAgeMs);
   const soon = replicas.some(({lagMs}) => lagMs <= patience);
   if (soon && demand.waitedMs < patience) {
     return {kind: 'wait', reason: 'replica about to catch up'};
   }
   if (primary) return toPrimary(primary, 'primary: replicas too far behind');
-  if (demand.olderWithNotice && demand.waitedMs >= OLDER_PATIENCE_MS) {
-    const free = current.filter(candidate => candidate.free > 0);
+  if (demand.allowsOlder && demand.waitedMs >= OLDER_PATIENCE_MS) {
+    const free = current.filter(candidate => candidate.freeCount > 0);
     const [newest] = [...free].sort((a, b) => a.ageMs - b.ageMs);
     if (newest) return go(newest, 'older replica with notice');
   }
@@ -120,26 +122,26 @@
 }
 
 function toPrimary(
-  primary: Candidate | undefined,
+  primary: ReadCandidate | undefined,
   reason: RouteReason,
 ): RouteDecision {
   if (!primary) return {kind: 'wait', reason: 'no primary'};
-  if (primary.free > 0) return go(primary, reason);
+  if (primary.freeCount > 0) return go(primary, reason);
   return {kind: 'wait', reason: 'primary busy'};
 }
 
-function go({instance}: Candidate, reason: RouteReason): RouteDecision {
+function go({instance}: ReadCandidate, reason: RouteReason): RouteDecision {
   return {kind: 'go', instance, reason};
 }
 
 /** Nearest first, then the one with the least to do. */
-function byNearness(a: Candidate, b: Candidate): number {
+function byNearness(a: ReadCandidate, b: ReadCandidate): number {
   return (
-    a.distanceMs - b.distanceMs ||
-    a.running - b.running ||
+    a.latencyMs - b.latencyMs ||
+    a.runningCount - b.runningCount ||
     (a.instance < b.instance ? -1 : 1)
   );
 }
 
 /** The latency between two sites, as settings give it. */
-export type Distance = (from: SiteId, to: SiteId) => number;
+export type SiteLatency = (from: SiteId, to: SiteId) => number;
--- a/src/services/routing/test/common/outlier_ejection.test.ts
+++ b/src/services/routing/test/common/outlier_ejection.test.ts
@@ -25,8 +25,8 @@
   it('lets it come back slowly', () => {
     const ejection = new OutlierEjection(1);
     failTimes(ejection, 3);
-    expect(ejection.limitOf(SLOW, 700)).toBe(1);
-    expect(ejection.limitOf(SLOW, 1_600)).toBe(Infinity);
+    expect(ejection.concurrencyLimitOf(SLOW, 700)).toBe(1);
+    expect(ejection.concurrencyLimitOf(SLOW, 1_600)).toBe(Infinity);
   });
 
   it('never ejects the last one', () => {
--- a/src/services/routing/test/common/router.test.ts
+++ b/src/services/routing/test/common/route_read.test.ts
@@ -1,39 +1,46 @@
 import {describe, expect, it} from 'vitest';
 import {instanceId} from '../../../../base/common/ids';
-import {routeRead, type Candidate, type ReadDemand} from '../../common/router';
+import {
+  routeRead,
+  type ReadCandidate,
+  type ReadRequirement,
+} from '../../common/route_read';
 
-function demand(parts: Partial<ReadDemand> = {}): ReadDemand {
+function demand(parts: Partial<ReadRequirement> = {}): ReadRequirement {
   return {
-    ageMs: 1_000,
-    requiredOffset: 10,
-    olderWithNotice: false,
+    maxAgeMs: 1_000,
+    minOffset: 10,
+    allowsOlder: false,
     waitedMs: 0,
     ...parts,
   };
 }
 
-function replica(name: string, parts: Partial<Candidate> = {}): Candidate {
+function replica(
+  name: string,
+  parts: Partial<ReadCandidate> = {},
+): ReadCandidate {
   return {
     instance: instanceId(name),
     isPrimary: false,
-    usable: true,
+    isUsable: true,
     appliedOffset: 10,
     ageMs: 50,
-    free: 1,
-    running: 0,
-    distanceMs: 1,
+    freeCount: 1,
+    runningCount: 0,
+    latencyMs: 1,
     lagMs: 0,
     ...parts,
   };
 }
 
-const primary = (parts: Partial<Candidate> = {}) =>
-  replica('primary', {isPrimary: true, ageMs: 0, free: 2, ...parts});
+const primary = (parts: Partial<ReadCandidate> = {}) =>
+  replica('primary', {isPrimary: true, ageMs: 0, freeCount: 2, ...parts});
 
 describe('where a read goes', () => {
   it('takes the nearest replica that is fresh enough', () => {
-    const near = replica('near', {distanceMs: 0.5});
-    const far = replica('far', {distanceMs: 20});
+    const near = replica('near', {latencyMs: 0.5});
+    const far = replica('far', {latencyMs: 20});
     const decision = routeRead(demand(), [far, near, primary()]);
     expect(decision).toMatchObject({kind: 'go', instance: 'near'});
   });
@@ -61,7 +68,7 @@
   });
 
   it('waits where nothing is known of the session’s past', () => {
-    const decision = routeRead(demand({requiredOffset: undefined}), [
+    const decision = routeRead(demand({minOffset: undefined}), [
       replica('a'),
       primary(),
     ]);
@@ -69,11 +76,11 @@
   });
 
   it('lets the primary help out only with connections to spare', () => {
-    const busy = replica('busy', {free: 0});
+    const busy = replica('busy', {freeCount: 0});
     const waited = demand({waitedMs: 30});
-    const spare = routeRead(waited, [busy, primary({free: 2})]);
+    const spare = routeRead(waited, [busy, primary({freeCount: 2})]);
     expect(spare).toMatchObject({instance: 'primary'});
-    const scarce = routeRead(waited, [busy, primary({free: 1})]);
+    const scarce = routeRead(waited, [busy, primary({freeCount: 1})]);
     expect(scarce).toMatchObject({reason: 'replica busy'});
   });
 
@@ -82,7 +89,7 @@
   it('gives older figures with a notice where the class wants them', () => {
     const old = replica('old', {ageMs: 5_000, lagMs: 5_000});
     const lacking = replica('lacking', {appliedOffset: 3, lagMs: 5_000});
-    const wants = demand({olderWithNotice: true, waitedMs: 150});
+    const wants = demand({allowsOlder: true, waitedMs: 150});
     expect(routeRead(wants, [old, lacking])).toMatchObject({
       instance: 'old',
       reason: 'older replica with notice',
--- a/src/services/session/common/session_state.ts
+++ b/src/services/session/common/session_state.ts
@@ -20,7 +20,7 @@
 const MOST_REPLAYED = 100;
 
 /** Why a value was not taken. */
-export interface VariableFault {
+export interface VariableError {
   readonly message: string;
 }
 
@@ -28,36 +28,36 @@
 export class SessionState {
   requestClass = className('default');
   /** The key of the next write, used up by it. */
-  key: RequestKey | undefined;
+  writeKey: RequestKey | undefined;
   private seen: Position | undefined;
   /** SET statements to repeat on each connection, by parameter. */
   private readonly settings = new Map<string, string>();
 
   /** What reads must see; undefined until it is known. */
-  get required(): Position | undefined {
+  get requiredPosition(): Position | undefined {
     return this.seen;
   }
 
   /** A write of this session was acknowledged, or a position brought along. */
-  see(position: Position): void {
+  recordPosition(position: Position): void {
     this.seen = this.seen ? laterPosition(this.seen, position) : position;
   }
 
   /** The statements that give a connection this session's settings. */
-  get replay(): readonly string[] {
+  get settingStatements(): readonly string[] {
     return [...this.settings.values()];
   }
 
-  static isOwn(name: string): boolean {
+  static isProxyVariable(name: string): boolean {
     return name.startsWith(OWN_PREFIX);
   }
 
   /** Sets one of the proxy's own variables. */
-  setOwn(
+  setProxyVariable(
     name: string,
     value: string | undefined,
     classes: ReadonlySet<ClassName>,
-  ): VariableFault | undefined {
+  ): VariableError | undefined {
     switch (name) {
       case POSITION_VARIABLE:
         return this.setPosition(value ?? '');
@@ -71,46 +71,46 @@
   }
 
   /** What SHOW answers for one of the proxy's own variables. */
-  showOwn(name: string): string | undefined {
+  showProxyVariable(name: string): string | undefined {
     switch (name) {
       case POSITION_VARIABLE:
         return this.seen ? formatPosition(this.seen) : '';
       case CLASS_VARIABLE:
         return this.requestClass;
       case KEY_VARIABLE:
-        return this.key ?? '';
+        return this.writeKey ?? '';
       default:
         return undefined;
     }
   }
 
   /** Keeps a SET that a target accepted; undefined for a RESET. */
-  remember(name: string, statement: string | undefined): void {
+  saveSetting(name: string, statement: string | undefined): void {
     this.settings.delete(name);
     if (statement === undefined) return;
     this.settings.set(name, statement);
   }
 
   /** Whether one more setting can be kept. */
-  hasRoomFor(name: string): boolean {
+  canSaveSetting(name: string): boolean {
     return this.settings.has(name) || this.settings.size < MOST_REPLAYED;
   }
 
-  forgetSettings(): void {
+  clearSettings(): void {
     this.settings.clear();
   }
 
-  private setPosition(value: string): VariableFault | undefined {
+  private setPosition(value: string): VariableError | undefined {
     const position = parsePosition(value);
     if (!position) return {message: `invalid position "${value}"`};
-    this.see(position);
+    this.recordPosition(position);
     return undefined;
   }
 
   private setClass(
     name: ClassName,
     classes: ReadonlySet<ClassName>,
-  ): VariableFault | undefined {
+  ): VariableError | undefined {
     if (name !== 'default' && !classes.has(name)) {
       return {message: `unknown class "${name}"`};
     }
@@ -118,11 +118,11 @@
     return undefined;
   }
 
-  private setKey(value: string): VariableFault | undefined {
+  private setKey(value: string): VariableError | undefined {
     if (value.length > MOST_KEY_LENGTH) {
       return {message: `a request key has at most ${MOST_KEY_LENGTH} letters`};
     }
-    this.key = value === '' ? undefined : requestKey(value);
+    this.writeKey = value === '' ? undefined : requestKey(value);
     return undefined;
   }
 }
--- a/src/services/settings/common/ini_file.ts
+++ b/src/services/settings/common/ini_file.ts
@@ -1,5 +1,5 @@
 import {decode} from 'ini';
-import type {SettingsFault} from './settings';
+import type {SettingsError} from './settings';
 
 /** One key of a file, with where it stands. */
 export interface IniEntry {
@@ -23,10 +23,10 @@
  * Reads an INI text. Each line is decoded by the ini library; only sections
  * and line numbers, which it does not report, are kept track of here.
  */
-export function readIni(
+export function parseIni(
   file: string,
   text: string,
-  faults: SettingsFault[],
+  faults: SettingsError[],
 ): IniFile {
   const sections: {section: string; line: number}[] = [];
   const entries: IniEntry[] = [];
--- a/src/services/settings/common/settings.ts
+++ b/src/services/settings/common/settings.ts
@@ -20,7 +20,7 @@
   type ServiceSettings,
   type SystemSettings,
 } from '../../../schema/generated/settings';
-import {readIni, type IniEntry, type IniFile} from './ini_file';
+import {parseIni, type IniEntry, type IniFile} from './ini_file';
 
 export type {
   ClassSettings,
@@ -36,7 +36,7 @@
 }
 
 /** One thing that is wrong with a settings file. */
-export interface SettingsFault {
+export interface SettingsError {
   readonly file: string;
   readonly line: number;
   readonly key: string;
@@ -58,7 +58,7 @@
   readonly services: ReadonlyMap<ServiceName, ServiceSettings>;
   readonly classes: ReadonlyMap<ClassName, ClassSettings>;
   /** One-way latency between two sites, in milliseconds. */
-  distance(from: SiteId, to: SiteId): number;
+  oneWayLatencyMs(from: SiteId, to: SiteId): number;
 }
 
 /** Sections that an overlay may have although the base file lacks them. */
@@ -73,13 +73,13 @@
 export function parseSettings(
   base: SettingsSource,
   overlay?: SettingsSource,
-): Result<Settings, readonly SettingsFault[]> {
-  const faults: SettingsFault[] = [];
+): Result<Settings, readonly SettingsError[]> {
+  const faults: SettingsError[] = [];
   const values: Values = new Map();
-  const baseFile = readIni(base.file, base.text, faults);
+  const baseFile = parseIni(base.file, base.text, faults);
   take(baseFile, values, faults);
   if (overlay) {
-    const overlayFile = readIni(overlay.file, overlay.text, faults);
+    const overlayFile = parseIni(overlay.file, overlay.text, faults);
     checkOverlay(overlayFile, values, faults);
     take(overlayFile, values, faults);
   }
@@ -89,7 +89,7 @@
 }
 
 /** A fault as one line for people. */
-export function formatFault(fault: SettingsFault): string {
+export function formatSettingsError(fault: SettingsError): string {
   const {file, line, key, found, allowed} = fault;
   return `${file}:${line}: ${key}: found ${found}; allowed: ${allowed}`;
 }
@@ -97,7 +97,7 @@
 function checkOverlay(
   overlay: IniFile,
   values: Values,
-  faults: SettingsFault[],
+  faults: SettingsError[],
 ): void {
   const known = new Set([...values.keys(), ...OVERLAY_SECTIONS]);
   for (const {section, key, line} of overlay.entries) {
@@ -110,7 +110,7 @@
   }
 }
 
-function take(ini: IniFile, values: Values, faults: SettingsFault[]): void {
+function take(ini: IniFile, values: Values, faults: SettingsError[]): void {
   for (const {section, line} of ini.sections) {
     if (schemaOf(section)) {
       values.set(section, values.get(section) ?? {});
@@ -131,7 +131,7 @@
   file: string,
   entry: IniEntry,
   values: Values,
-  faults: SettingsFault[],
+  faults: SettingsError[],
 ): void {
   const {section, key, line} = entry;
   const sectionSchema = schemaOf(section);
@@ -194,7 +194,7 @@
 function fillDefaults(
   values: Values,
   file: string,
-  faults: SettingsFault[],
+  faults: SettingsError[],
 ): void {
   for (const section of SECTIONS) {
     if (!section.repeated && !values.has(section.name)) {
@@ -216,7 +216,7 @@
 function readControl(
   values: Values,
   file: string,
-  faults: SettingsFault[],
+  faults: SettingsError[],
 ): ControlAddress[] {
   const texts = (values.get('system')?.['control'] ?? []) as string[];
   const addresses = texts.map(text => {
@@ -255,7 +255,7 @@
       serviceName,
     ),
     classes: keyed<ClassName, ClassSettings>(values, 'class', className),
-    distance(from, to) {
+    oneWayLatencyMs(from, to) {
       if (from === to) return 0;
       const pair =
         distances.get(`${from}/${to}`) ?? distances.get(`${to}/${from}`);
--- a/src/services/settings/node/settings_files.ts
+++ b/src/services/settings/node/settings_files.ts
@@ -4,7 +4,7 @@
 import {
   parseSettings,
   type Settings,
-  type SettingsFault,
+  type SettingsError,
   type SettingsSource,
 } from '../common/settings';
 
@@ -12,10 +12,11 @@
 export function loadSettings(
   baseFile: string,
   overlayFile: string,
-): Result<Settings, readonly SettingsFault[]> {
+): Result<Settings, readonly SettingsError[]> {
   try {
-    const base = readSource(baseFile);
-    const overlay = overlayFile === '' ? undefined : readSource(overlayFile);
+    const base = readSettingsSource(baseFile);
+    const overlay =
+      overlayFile === '' ? undefined : readSettingsSource(overlayFile);
     return parseSettings(base, overlay);
   } catch (thrown) {
     const found = toError(thrown).message;
@@ -25,6 +26,6 @@
 }
 
 /** One file as a source of settings. */
-export function readSource(file: string): SettingsSource {
+export function readSettingsSource(file: string): SettingsSource {
   return {file, text: readFileSync(file, 'utf8')};
 }
--- a/src/services/settings/test/common/settings.test.ts
+++ b/src/services/settings/test/common/settings.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {className, serviceName, siteId} from '../../../../base/common/ids';
-import {formatFault, parseSettings} from '../../common/settings';
+import {formatSettingsError, parseSettings} from '../../common/settings';
 
 const BASE = `[system]
 control = c1=127.0.0.1:7001
@@ -20,7 +20,7 @@
     {file: 'base.ini', text: base},
     overlay === undefined ? undefined : {file: 'site.ini', text: overlay},
   );
-  return parsed.isOk ? [] : parsed.error.map(formatFault);
+  return parsed.isOk ? [] : parsed.error.map(formatSettingsError);
 }
 
 describe('settings', () => {
@@ -35,7 +35,7 @@
     expect(classes.get(className('review'))?.ageMs).toBe(9_000);
     expect(system.leaseMs).toBe(800);
     const [from, to] = [siteId('lton-b'), siteId('hobart-a')];
-    expect(parsed.value.distance(from, to)).toBe(20);
+    expect(parsed.value.oneWayLatencyMs(from, to)).toBe(20);
   });
 
   it('names file, line, key, what was found and what is allowed, all at once', () => {
--- a/src/services/sql/common/classifier.ts
+++ b/src/services/sql/common/classifier.ts
@@ -1,7 +1,7 @@
 import {
   constantOf,
   listOf,
-  openNode,
+  unwrapNode,
   stringOf,
   type ParsedStatement,
   type SqlGrammar,
@@ -29,13 +29,13 @@
   | {readonly kind: 'discardAll'}
   | {readonly kind: 'show'; readonly name: string}
   /** Would leave state behind on a connection that others use next. */
-  | {readonly kind: 'unsupported'; readonly what: string};
+  | {readonly kind: 'unsupported'; readonly feature: string};
 
 /** The statements of one text, or why it could not be read. */
 export interface ClassifiedText {
   readonly statements: readonly StatementClass[];
   /** Set where the grammar does not accept the text. */
-  readonly fault: string | undefined;
+  readonly syntaxError: string | undefined;
 }
 
 const MOST_CACHED_TEXTS = 5_000;
@@ -103,9 +103,9 @@
   private read(text: string): ClassifiedText {
     const parsed = this.grammar.parse(text);
     if ('message' in parsed) {
-      return {statements: [{kind: 'write'}], fault: parsed.message};
+      return {statements: [{kind: 'write'}], syntaxError: parsed.message};
     }
-    return {statements: parsed.map(classifyStatement), fault: undefined};
+    return {statements: parsed.map(classifyStatement), syntaxError: undefined};
   }
 
   private remember(text: string, classified: ClassifiedText): void {
@@ -123,7 +123,7 @@
   node,
 }: ParsedStatement): StatementClass {
   const what = UNSUPPORTED[type];
-  if (what) return {kind: 'unsupported', what};
+  if (what) return {kind: 'unsupported', feature: what};
   switch (type) {
     case 'SelectStmt':
       return classifySelect(node);
@@ -146,7 +146,7 @@
   const found = new FunctionScan();
   found.visit(node);
   if (found.session) {
-    return {kind: 'unsupported', what: `the function ${found.session}`};
+    return {kind: 'unsupported', feature: `the function ${found.session}`};
   }
   const changes = found.locks || found.writes || node['intoClause'];
   return changes || found.unsafe ? {kind: 'write'} : {kind: 'read'};
@@ -158,12 +158,12 @@
     return {kind: 'begin', readOnly: isReadOnly(node)};
   }
   const known = TRANSACTION_KINDS[kind];
-  return known ?? {kind: 'unsupported', what: 'two-phase commit'};
+  return known ?? {kind: 'unsupported', feature: 'two-phase commit'};
 }
 
 function isReadOnly(node: SyntaxNode): boolean {
   return listOf(node, 'options').some(option => {
-    const [, {defname, arg}] = openNode(option);
+    const [, {defname, arg}] = unwrapNode(option);
     return defname === 'transaction_read_only' && constantOf(arg) === 1;
   });
 }
@@ -173,7 +173,7 @@
   const name = String(node['name'] ?? '');
   if (kind === 'VAR_RESET_ALL') return {kind: 'resetAll'};
   if (name === 'SESSION CHARACTERISTICS') {
-    return {kind: 'unsupported', what: 'SET SESSION CHARACTERISTICS'};
+    return {kind: 'unsupported', feature: 'SET SESSION CHARACTERISTICS'};
   }
   const local = Boolean(node['is_local']) || name === 'TRANSACTION';
   if (kind === 'VAR_RESET' || kind === 'VAR_SET_DEFAULT') {
@@ -185,19 +185,19 @@
 
 function classifyCursor(node: SyntaxNode): StatementClass {
   const held = Number(node['options'] ?? 0) & CURSOR_WITH_HOLD;
-  if (held) return {kind: 'unsupported', what: 'cursors WITH HOLD'};
+  if (held) return {kind: 'unsupported', feature: 'cursors WITH HOLD'};
   return {kind: 'write'};
 }
 
 function classifyOther(node: SyntaxNode): StatementClass {
   const relation = node['relation'] as SyntaxNode | undefined;
   if (relation?.['relpersistence'] === 't') {
-    return {kind: 'unsupported', what: 'temporary tables'};
+    return {kind: 'unsupported', feature: 'temporary tables'};
   }
   const found = new FunctionScan();
   found.visit(node);
   if (found.session) {
-    return {kind: 'unsupported', what: `the function ${found.session}`};
+    return {kind: 'unsupported', feature: `the function ${found.session}`};
   }
   return {kind: 'write'};
 }
--- a/src/services/sql/common/syntax_tree.ts
+++ b/src/services/sql/common/syntax_tree.ts
@@ -13,16 +13,16 @@
 
 /** Parses a text into its statements, or says what is wrong with it. */
 export interface SqlGrammar {
-  parse(text: string): readonly ParsedStatement[] | SqlFault;
+  parse(text: string): readonly ParsedStatement[] | SqlSyntaxError;
 }
 
 /** A text that is not SQL. */
-export interface SqlFault {
+export interface SqlSyntaxError {
   readonly message: string;
 }
 
 /** The type and fields of a node that stands where any node may. */
-export function openNode(node: unknown): [string, SyntaxNode] {
+export function unwrapNode(node: unknown): [string, SyntaxNode] {
   const entry = Object.entries((node ?? {}) as SyntaxNode)[0];
   return entry ? [entry[0], entry[1] as SyntaxNode] : ['', {}];
 }
@@ -34,7 +34,7 @@
 
 /** The text of a String node. */
 export function stringOf(node: unknown): string {
-  const [, {sval}] = openNode(node);
+  const [, {sval}] = unwrapNode(node);
   return String(sval ?? '');
 }
 
@@ -42,7 +42,7 @@
 export function constantOf(
   node: unknown,
 ): string | number | boolean | null | undefined {
-  const [type, fields] = openNode(node);
+  const [type, fields] = unwrapNode(node);
   if (type !== 'A_Const') return undefined;
   if (fields['isnull']) return null;
   const {ival, fval, sval, boolval} = fields as Record<
--- a/src/services/sql/node/postgres_grammar.ts
+++ b/src/services/sql/node/postgres_grammar.ts
@@ -1,9 +1,9 @@
 import {loadModule, parseSync} from 'libpg-query';
 import {toError} from '../../../base/node/task';
 import {
-  openNode,
+  unwrapNode,
   type ParsedStatement,
-  type SqlFault,
+  type SqlSyntaxError,
   type SqlGrammar,
 } from '../common/syntax_tree';
 
@@ -20,7 +20,7 @@
     return new PostgresGrammar();
   }
 
-  parse(text: string): readonly ParsedStatement[] | SqlFault {
+  parse(text: string): readonly ParsedStatement[] | SqlSyntaxError {
     const known = this.kept.get(text);
     if (known) return known;
     const parsed = this.parseAnew(text);
@@ -36,11 +36,11 @@
     this.kept.set(text, parsed);
   }
 
-  private parseAnew(text: string): readonly ParsedStatement[] | SqlFault {
+  private parseAnew(text: string): readonly ParsedStatement[] | SqlSyntaxError {
     try {
       const {stmts = []} = parseSync(text);
       return stmts.map(({stmt}) => {
-        const [type, node] = openNode(stmt);
+        const [type, node] = unwrapNode(stmt);
         return {type, node};
       });
     } catch (thrown) {
--- a/src/services/statement/common/statement.ts
+++ b/src/services/statement/common/statement.ts
@@ -44,7 +44,7 @@
   readonly requestId: string | undefined;
   readonly statement: TargetStatement;
   /** What the target's log must hold for a read or a begin. */
-  readonly after?: Position;
+  readonly minPosition?: Position;
 }
 
 /** Why a statement did not succeed. */
@@ -85,7 +85,7 @@
 ]);
 
 /** Whether a target's failure says that the statement did not run. */
-export function saysNotRun(failure: Failure): boolean {
+export function didNotRun(failure: Failure): boolean {
   return NOT_RUN.has(failure);
 }
 
@@ -126,7 +126,7 @@
 }
 
 /** An answer that the system gives itself. */
-export const DONE_HERE: StatementResult = {
+export const DONE_LOCALLY: StatementResult = {
   kind: 'done',
   rows: [],
   signature: '',
--- a/src/services/target_link/common/member_status.ts
+++ b/src/services/target_link/common/member_status.ts
@@ -3,9 +3,9 @@
 
 /** What a member says of itself. */
 export interface MemberStatus {
-  readonly leads: boolean;
+  readonly isPrimary: boolean;
   readonly term: number;
-  readonly received: Position;
+  readonly receivedPosition: Position;
 }
 
 /** Reads what members answer to a question for their status. */
--- a/src/services/target_link/common/target_link.ts
+++ b/src/services/target_link/common/target_link.ts
@@ -30,7 +30,7 @@
 export interface TargetLink {
   readonly isClosed: boolean;
   /** What the member's log held when the connection opened. */
-  readonly openedAt: Position | undefined;
+  readonly positionAtOpen: Position | undefined;
   /** Sends calls in one go and gives each answer when it is whole. */
   send(calls: readonly TargetCall[]): readonly Promise<TargetReply>[];
   /** Calls back once when the connection ends, for whatever reason. */
--- a/src/services/wire/common/backend.ts
+++ b/src/services/wire/common/backend.ts
@@ -1,6 +1,6 @@
 import {encodeFrame} from './frames';
 import {cstring} from './frontend';
-import {BodyReader} from './reader';
+import {BodyReader} from './body_reader';
 
 /** Whether a session is in a transaction, as ReadyForQuery says it. */
 export type TransactionStatus = 'idle' | 'open' | 'failed';
@@ -46,40 +46,40 @@
   failed: encodeFrame('Z', Buffer.from('E')),
 };
 
-export function encodeReady(status: TransactionStatus): Buffer {
+export function encodeReadyForQuery(status: TransactionStatus): Buffer {
   return READY[status];
 }
 
 /** The transaction status that a ReadyForQuery body carries. */
-export function decodeReady(body: Buffer): TransactionStatus {
+export function decodeReadyForQuery(body: Buffer): TransactionStatus {
   const letter = String.fromCharCode(body[0] ?? 0);
   if (letter === STATUS_LETTERS.open) return 'open';
   return letter === STATUS_LETTERS.failed ? 'failed' : 'idle';
 }
 
-export function encodeParameter(name: string, value: string): Buffer {
+export function encodeParameterStatus(name: string, value: string): Buffer {
   return encodeFrame('S', Buffer.concat([cstring(name), cstring(value)]));
 }
 
 /** The name and value of a ParameterStatus body. */
-export function decodeParameter(body: Buffer): [string, string] {
+export function decodeParameterStatus(body: Buffer): [string, string] {
   const reader = new BodyReader(body);
   return [reader.cstring() ?? '', reader.cstring() ?? ''];
 }
 
-export function encodeKeyData(processId: number, key: number): Buffer {
+export function encodeBackendKeyData(processId: number, key: number): Buffer {
   const body = Buffer.alloc(8);
   body.writeInt32BE(processId, 0);
   body.writeInt32BE(key, 4);
   return encodeFrame('K', body);
 }
 
-export function encodeComplete(tag: string): Buffer {
+export function encodeCommandComplete(tag: string): Buffer {
   return encodeFrame('C', cstring(tag));
 }
 
 /** The tag of a CommandComplete body. */
-export function decodeComplete(body: Buffer): string {
+export function decodeCommandComplete(body: Buffer): string {
   return new BodyReader(body).cstring() ?? '';
 }
 
@@ -95,7 +95,7 @@
   return encodeFrame('T', Buffer.concat(parts));
 }
 
-export function encodeRow(values: readonly (string | null)[]): Buffer {
+export function encodeDataRow(values: readonly (string | null)[]): Buffer {
   const parts = [int16(values.length)];
   for (const value of values) {
     if (value === null) {
--- a/src/services/wire/common/frames.ts
+++ b/src/services/wire/common/frames.ts
@@ -7,7 +7,7 @@
 }
 
 /** Why a stream of frames cannot go on. */
-export interface FrameFault {
+export interface FrameError {
   readonly type: number;
   readonly length: number;
 }
@@ -22,14 +22,14 @@
 }
 
 /** The type byte of a letter. */
-export function typeOf(letter: string): number {
+export function typeByteOf(letter: string): number {
   return letter.charCodeAt(0);
 }
 
 /** A frame around a body. */
 export function encodeFrame(letter: string, body: Buffer = EMPTY): Buffer {
   const bytes = Buffer.allocUnsafe(FRAME_HEADER_BYTES + body.length);
-  bytes[0] = typeOf(letter);
+  bytes[0] = typeByteOf(letter);
   bytes.writeUInt32BE(LEAST_LENGTH + body.length, 1);
   body.copy(bytes, FRAME_HEADER_BYTES);
   return bytes;
@@ -39,7 +39,7 @@
  * Cuts a byte stream into frames. A part of a frame is kept until the rest
  * comes; its length is checked against the limit before anything is kept.
  */
-export class FrameSplitter {
+export class FrameDecoder {
   private parts: Buffer[] = [];
   private held = 0;
   private wanted = FRAME_HEADER_BYTES;
@@ -47,7 +47,7 @@
   constructor(private readonly mostBytes: number) {}
 
   /** The whole frames that a chunk completes, or a fault. */
-  push(chunk: Buffer): readonly Frame[] | FrameFault {
+  push(chunk: Buffer): readonly Frame[] | FrameError {
     this.parts.push(chunk);
     this.held += chunk.length;
     if (this.held < this.wanted) return [];
@@ -56,7 +56,7 @@
     return this.split(buffer);
   }
 
-  private split(buffer: Buffer): readonly Frame[] | FrameFault {
+  private split(buffer: Buffer): readonly Frame[] | FrameError {
     const frames: Frame[] = [];
     let at = 0;
     this.wanted = FRAME_HEADER_BYTES;
--- a/src/services/wire/common/frontend.ts
+++ b/src/services/wire/common/frontend.ts
@@ -1,5 +1,5 @@
-import {bodyOf, encodeFrame, typeOf, type Frame} from './frames';
-import {BodyReader} from './reader';
+import {bodyOf, encodeFrame, typeByteOf, type Frame} from './frames';
+import {BodyReader} from './body_reader';
 
 /** What a caller says, as far as it is looked at. */
 export type FrontendMessage =
@@ -19,13 +19,13 @@
     }
   | {
       readonly kind: 'describe' | 'close';
-      readonly of: 'statement' | 'portal';
+      readonly objectKind: 'statement' | 'portal';
       readonly name: string;
     }
   | {
       readonly kind: 'execute';
       readonly portal: string;
-      readonly mostRows: number;
+      readonly maxRows: number;
     }
   | {readonly kind: 'sync'}
   | {readonly kind: 'flush'}
@@ -85,8 +85,8 @@
   const of = reader.byte();
   const name = reader.cstring();
   if (name === undefined) return undefined;
-  if (of === typeOf('S')) return {kind, of: 'statement', name};
-  if (of === typeOf('P')) return {kind, of: 'portal', name};
+  if (of === typeByteOf('S')) return {kind, objectKind: 'statement', name};
+  if (of === typeByteOf('P')) return {kind, objectKind: 'portal', name};
   return undefined;
 }
 
@@ -94,7 +94,7 @@
   const portal = reader.cstring();
   const mostRows = reader.int32();
   if (portal === undefined || mostRows === undefined) return undefined;
-  return {kind: 'execute', portal, mostRows};
+  return {kind: 'execute', portal, maxRows: mostRows};
 }
 
 /** Names the protocol version 3.0 in a startup packet. */
@@ -108,7 +108,7 @@
   | {readonly kind: 'startup'; readonly parameters: Map<string, string>}
   | {readonly kind: 'encryption'}
   | {readonly kind: 'cancel'; readonly processId: number; readonly key: number}
-  | {readonly kind: 'broken'; readonly reason: string};
+  | {readonly kind: 'invalid'; readonly reason: string};
 
 /** Decodes a startup packet without its length. */
 export function decodeStartup(body: Buffer): StartupPacket {
@@ -122,7 +122,7 @@
     return {kind: 'cancel', processId, key: reader.int32() ?? 0};
   }
   if (code === undefined || code >> 16 !== PROTOCOL_VERSION >> 16) {
-    return {kind: 'broken', reason: 'unknown protocol version'};
+    return {kind: 'invalid', reason: 'unknown protocol version'};
   }
   const parameters = new Map<string, string>();
   for (;;) {
@@ -130,7 +130,7 @@
     if (!name) return {kind: 'startup', parameters};
     const value = reader.cstring();
     if (value === undefined) {
-      return {kind: 'broken', reason: 'startup parameter without a value'};
+      return {kind: 'invalid', reason: 'startup parameter without a value'};
     }
     parameters.set(name, value);
   }
--- a/src/services/wire/node/frame_connection.ts
+++ b/src/services/wire/node/frame_connection.ts
@@ -1,7 +1,7 @@
 import type {Socket} from 'node:net';
 import {Mailbox, settled, type Task} from '../../../base/node/task';
 import {after, ownController} from '../../../base/node/timers';
-import {FrameSplitter, type Frame} from '../common/frames';
+import {FrameDecoder, type Frame} from '../common/frames';
 import {decodeStartup, type StartupPacket} from '../common/frontend';
 
 /** Reading pauses while more frames than this wait to be handled. */
@@ -13,20 +13,20 @@
 export type ConnectionEvent = 'stop' | 'idle too long';
 
 /** What came in from the other side, or an event of this one. */
-export type Incoming =
+export type ConnectionInput =
   | {readonly kind: 'event'; readonly event: ConnectionEvent}
   | {readonly kind: 'startup'; readonly packet: StartupPacket}
   | {readonly kind: 'frame'; readonly frame: Frame}
   /** The bytes are no frames, or one is longer than allowed. */
-  | {readonly kind: 'fault'; readonly reason: string};
+  | {readonly kind: 'error'; readonly reason: string};
 
 /**
  * The server's side of one PostgreSQL connection: owns the socket, gives its
  * task one frame at a time and stops reading while the task is behind.
  */
 export class FrameConnection {
-  private readonly mailbox = new Mailbox<Incoming>();
-  private readonly splitter: FrameSplitter;
+  private readonly mailbox = new Mailbox<ConnectionInput>();
+  private readonly splitter: FrameDecoder;
   private startupBytes: Buffer = Buffer.alloc(0);
   private started = false;
   private waiting = 0;
@@ -37,7 +37,7 @@
     mostBytes: number,
     signal: AbortSignal,
   ) {
-    this.splitter = new FrameSplitter(mostBytes);
+    this.splitter = new FrameDecoder(mostBytes);
     socket.setNoDelay(true);
     socket.on('data', chunk => this.onData(chunk));
     socket.on('error', () => socket.destroy());
@@ -54,7 +54,7 @@
   }
 
   /** Aborts when the other side is gone. */
-  get closed(): AbortSignal {
+  get closedSignal(): AbortSignal {
     return this.ended.signal;
   }
 
@@ -64,14 +64,14 @@
   }
 
   /** The next thing that came in; undefined once the connection is gone. */
-  *receive(): Task<Incoming | undefined> {
+  *receive(): Task<ConnectionInput | undefined> {
     const incoming = yield* this.mailbox.receive();
     this.taken();
     return incoming;
   }
 
   /** The next thing that came in, if it is there already. */
-  poll(): Incoming | undefined {
+  poll(): ConnectionInput | undefined {
     const incoming = this.mailbox.poll();
     if (incoming) this.taken();
     return incoming;
@@ -114,7 +114,7 @@
     });
   }
 
-  *drained(): Task<void> {
+  *waitForDrain(): Task<void> {
     if (this.socket.writableNeedDrain) yield* settled(this.caughtUp());
   }
 
@@ -138,7 +138,7 @@
     const frames = this.splitter.push(chunk);
     if ('length' in frames && 'type' in frames) {
       const reason = `message of ${frames.length} bytes`;
-      this.put({kind: 'fault', reason});
+      this.put({kind: 'error', reason});
       this.socket.pause();
       return;
     }
@@ -150,7 +150,7 @@
     while (!this.started && this.startupBytes.length >= 4) {
       const length = this.startupBytes.readUInt32BE(0);
       if (length < 8 || length > MOST_STARTUP_BYTES) {
-        this.put({kind: 'fault', reason: 'startup packet of a wrong length'});
+        this.put({kind: 'error', reason: 'startup packet of a wrong length'});
         this.socket.pause();
         return;
       }
@@ -167,7 +167,7 @@
     }
   }
 
-  private put(incoming: Incoming): void {
+  private put(incoming: ConnectionInput): void {
     this.waiting++;
     if (this.waiting >= MOST_WAITING_FRAMES) this.socket.pause();
     if (!this.mailbox.post(incoming)) this.socket.destroy();
--- a/src/services/wire/test/common/frames.test.ts
+++ b/src/services/wire/test/common/frames.test.ts
@@ -1,10 +1,10 @@
 import {describe, expect, it} from 'vitest';
 import {SeededRandom} from '../../../../base/common/random';
-import {encodeFrame, FrameSplitter, type Frame} from '../../common/frames';
+import {encodeFrame, FrameDecoder, type Frame} from '../../common/frames';
 
 /** Pushes bytes in pieces of random length. */
 function pushInPieces(
-  splitter: FrameSplitter,
+  splitter: FrameDecoder,
   bytes: Buffer,
   random: SeededRandom,
 ): Frame[] | string {
@@ -28,7 +28,7 @@
         const body = Buffer.alloc(random.integer(0, 120), 'x');
         return encodeFrame(random.pick(['Q', 'P', 'D']), body);
       });
-      const splitter = new FrameSplitter(1_000);
+      const splitter = new FrameDecoder(1_000);
       const frames = pushInPieces(splitter, Buffer.concat(sent), random);
       if (typeof frames === 'string') throw new Error(`seed ${seed}`);
       expect(frames.map(({bytes}) => bytes)).toEqual(sent);
@@ -38,10 +38,10 @@
   // A caller announces a message of 2 GB. Collecting it would take the memory
   // of everybody else.
   it('are refused by their length before anything is collected', () => {
-    const splitter = new FrameSplitter(1_000);
+    const splitter = new FrameDecoder(1_000);
     const head = Buffer.from([0x51, 0x7f, 0xff, 0xff, 0xff]);
     expect(splitter.push(head)).toMatchObject({type: 0x51});
-    const short = new FrameSplitter(1_000);
+    const short = new FrameDecoder(1_000);
     expect(short.push(Buffer.from([0x51, 0, 0, 0, 3]))).toMatchObject({
       length: 3,
     });
@@ -53,7 +53,7 @@
       const bytes = Buffer.from(
         Array.from({length: 200}, () => random.integer(0, 255)),
       );
-      pushInPieces(new FrameSplitter(5_000), bytes, random);
+      pushInPieces(new FrameDecoder(5_000), bytes, random);
     }
   });
 });
--- a/src/standin/common/expressions.ts
+++ b/src/standin/common/expressions.ts
@@ -1,7 +1,7 @@
 import {
   constantOf,
   listOf,
-  openNode,
+  unwrapNode,
   stringOf,
   type SyntaxNode,
 } from '../../services/sql/common/syntax_tree';
@@ -46,7 +46,7 @@
 export function evaluate(expression: unknown, scope: Scope): Value {
   const constant = constantOf(expression);
   if (constant !== undefined) return constant;
-  const [type, node] = openNode(expression);
+  const [type, node] = unwrapNode(expression);
   const evaluator = EVALUATORS[type];
   if (!evaluator) throw unsupported(type);
   return evaluator(node, scope);
@@ -95,7 +95,7 @@
 function evaluateOperator(node: SyntaxNode, scope: Scope): Value {
   const left = evaluate(node['lexpr'], scope);
   if (node['kind'] === 'AEXPR_IN') {
-    const [, list] = openNode(node['rexpr']);
+    const [, list] = unwrapNode(node['rexpr']);
     const values = listOf(list, 'items').map(item => evaluate(item, scope));
     return values.some(value => compareValues(left, value) === 0);
   }
--- a/src/standin/common/select.ts
+++ b/src/standin/common/select.ts
@@ -7,7 +7,7 @@
 } from '../../services/wire/common/backend';
 import {
   listOf,
-  openNode,
+  unwrapNode,
   stringOf,
   type SyntaxNode,
 } from '../../services/sql/common/syntax_tree';
@@ -106,8 +106,8 @@
   source: Source,
   environment: Environment,
 ): Output[] {
-  const [, {val, name}] = openNode(target);
-  const [type, node] = openNode(val);
+  const [, {val, name}] = unwrapNode(target);
+  const [type, node] = unwrapNode(val);
   if (type === 'ColumnRef' && isStar(node)) {
     return source.columns.map(column => ({
       column: {name: column.name, type: TYPES[column.type]},
@@ -123,7 +123,7 @@
 }
 
 function isStar(node: SyntaxNode): boolean {
-  return openNode(listOf(node, 'fields').at(-1))[0] === 'A_Star';
+  return unwrapNode(listOf(node, 'fields').at(-1))[0] === 'A_Star';
 }
 
 function defaultName(type: string, node: SyntaxNode): string {
@@ -149,14 +149,14 @@
 }
 
 function isAggregate(target: SyntaxNode): boolean {
-  const [, {val}] = openNode(target);
-  const [type, node] = openNode(val);
+  const [, {val}] = unwrapNode(target);
+  const [type, node] = unwrapNode(val);
   return type === 'FuncCall' && AGGREGATES.has(functionNameOf(node));
 }
 
 function aggregateColumn(target: SyntaxNode): Column {
-  const [, {val, name}] = openNode(target);
-  const [, node] = openNode(val);
+  const [, {val, name}] = unwrapNode(target);
+  const [, node] = unwrapNode(val);
   return {name: String(name ?? functionNameOf(node)), type: TYPE_INT8};
 }
 
@@ -167,8 +167,8 @@
 ): Answer {
   const values = targets.map(target => {
     if (!isAggregate(target)) throw unsupported('GROUP BY');
-    const [, {val}] = openNode(target);
-    return aggregateValue(openNode(val)[1], rows, environment);
+    const [, {val}] = unwrapNode(target);
+    return aggregateValue(unwrapNode(val)[1], rows, environment);
   });
   return {columns: targets.map(aggregateColumn), rows: [values.map(toText)]};
 }
@@ -198,7 +198,7 @@
   rows: Iterable<RowValues>,
   environment: Environment,
 ): Iterable<RowValues> {
-  const keys = listOf(node, 'sortClause').map(item => openNode(item)[1]);
+  const keys = listOf(node, 'sortClause').map(item => unwrapNode(item)[1]);
   if (keys.length === 0) return rows;
   return [...rows].sort((a, b) => {
     for (const key of keys) {
--- a/src/standin/common/statements.ts
+++ b/src/standin/common/statements.ts
@@ -1,7 +1,7 @@
 import type {Column} from '../../services/wire/common/backend';
 import {
   listOf,
-  openNode,
+  unwrapNode,
   stringOf,
   type ParsedStatement,
   type SyntaxNode,
@@ -92,7 +92,7 @@
   const [first, second] = listOf(node, 'fromClause');
   if (second) throw unsupported('joins');
   if (!first) return {columns: [], rows: [{}]};
-  const [type, from] = openNode(first);
+  const [type, from] = unwrapNode(first);
   if (type === 'RangeFunction') return seriesOf(from, context);
   if (type !== 'RangeVar') throw unsupported(type);
   const name = String(from['relname']);
@@ -107,8 +107,8 @@
 }
 
 function seriesOf(from: SyntaxNode, context: StatementContext): Source {
-  const [, list] = openNode(listOf(from, 'functions')[0]);
-  const [, call] = openNode(listOf(list, 'items')[0]);
+  const [, list] = unwrapNode(listOf(from, 'functions')[0]);
+  const [, call] = unwrapNode(listOf(list, 'items')[0]);
   if (functionNameOf(call) !== 'generate_series') {
     throw unsupported('functions as tables');
   }
@@ -135,7 +135,7 @@
 ): StatementResult {
   const table = context.transaction.table(relationOf(node));
   const named = listOf(node, 'cols').map(column => {
-    return String(openNode(column)[1]['name']);
+    return String(unwrapNode(column)[1]['name']);
   });
   const names = named.length > 0 ? named : table.columns.map(({name}) => name);
   const ignoreTaken = node['onConflictClause'] !== undefined;
@@ -154,10 +154,10 @@
 }
 
 function insertedItems(node: SyntaxNode): SyntaxNode[][] {
-  const [, source] = openNode(node['selectStmt']);
+  const [, source] = unwrapNode(node['selectStmt']);
   const lists = listOf(source, 'valuesLists');
   if (lists.length === 0) throw unsupported('INSERT from SELECT');
-  return lists.map(list => listOf(openNode(list)[1], 'items'));
+  return lists.map(list => listOf(unwrapNode(list)[1], 'items'));
 }
 
 function insertedValues(
@@ -196,7 +196,7 @@
   for (const {key, values} of matching(node, table, context)) {
     const next: Record<string, Value> = {...values};
     for (const target of listOf(node, 'targetList')) {
-      const [, {name, val}] = openNode(target);
+      const [, {name, val}] = unwrapNode(target);
       const value = evaluate(val, {...context, row: values});
       next[String(name)] = convert(table, String(name), value);
     }
@@ -253,7 +253,9 @@
     const message = `relation "${name}" already exists`;
     throw new DatabaseError(DUPLICATE_TABLE, message);
   }
-  const definitions = listOf(node, 'tableElts').map(item => openNode(item)[1]);
+  const definitions = listOf(node, 'tableElts').map(
+    item => unwrapNode(item)[1],
+  );
   const columns = definitions.map(definition => ({
     name: String(definition['colname']),
     type: columnType(definition['typeName'] as SyntaxNode),
@@ -270,7 +272,7 @@
 
 function isPrimaryKey(definition: SyntaxNode): boolean {
   return listOf(definition, 'constraints').some(item => {
-    return openNode(item)[1]['contype'] === 'CONSTR_PRIMARY';
+    return unwrapNode(item)[1]['contype'] === 'CONSTR_PRIMARY';
   });
 }
 
--- a/src/standin/node/group_member.ts
+++ b/src/standin/node/group_member.ts
@@ -118,7 +118,7 @@
     return {term: this.term, offset};
   }
 
-  obey(order: Order): OrderResult {
+  execute(order: Order): OrderResult {
     const refusal = this.act(order);
     this.changed();
     return {
--- a/src/standin/node/member_tables.ts
+++ b/src/standin/node/member_tables.ts
@@ -1,5 +1,8 @@
 import {Role} from '../../schema/generated/announcement';
-import {formatPosition, ORIGIN} from '../../services/position/common/position';
+import {
+  formatPosition,
+  ORIGIN_POSITION,
+} from '../../services/position/common/position';
 import type {Source} from '../common/select';
 import type {TableColumn} from '../common/tables';
 import type {GroupMember} from './group_member';
@@ -42,7 +45,7 @@
     instance,
     role: role === Role.ROLE_PRIMARY ? 'primary' : 'replica',
     term,
-    received: formatPosition(received ?? ORIGIN),
+    received: formatPosition(received ?? ORIGIN_POSITION),
     applied: appliedOffset,
   };
 }
--- a/src/standin/node/session.ts
+++ b/src/standin/node/session.ts
@@ -3,7 +3,7 @@
 import {
   constantOf,
   listOf,
-  openNode,
+  unwrapNode,
   stringOf,
   type ParsedStatement,
   type SqlGrammar,
@@ -15,13 +15,13 @@
   BIND_COMPLETE,
   CLOSE_COMPLETE,
   EMPTY_QUERY,
-  encodeComplete,
+  encodeCommandComplete,
   encodeError,
-  encodeKeyData,
-  encodeParameter,
+  encodeBackendKeyData,
+  encodeParameterStatus,
   encodeParameterDescription,
-  encodeReady,
-  encodeRow,
+  encodeReadyForQuery,
+  encodeDataRow,
   encodeRowDescription,
   NO_DATA,
   PARSE_COMPLETE,
@@ -30,10 +30,10 @@
 } from '../../services/wire/common/backend';
 import type {FrontendMessage} from '../../services/wire/common/frontend';
 import {decodeFrontend} from '../../services/wire/common/frontend';
-import {BodyReader} from '../../services/wire/common/reader';
+import {BodyReader} from '../../services/wire/common/body_reader';
 import type {
   FrameConnection,
-  Incoming,
+  ConnectionInput,
 } from '../../services/wire/node/frame_connection';
 import {
   DatabaseError,
@@ -114,7 +114,7 @@
       const incoming = yield* this.connection.receive();
       if (!incoming) break;
       if (!(yield* this.handle(incoming))) break;
-      yield* this.connection.drained();
+      yield* this.connection.waitForDrain();
     }
     this.endTransaction();
     this.connection.end();
@@ -123,18 +123,18 @@
   private greet(): void {
     const {connection, host} = this;
     connection.send(AUTHENTICATION_OK);
-    connection.send(encodeParameter('server_version', '16.0'));
-    connection.send(encodeParameter('client_encoding', 'UTF8'));
-    connection.send(encodeParameter('DateStyle', 'ISO, MDY'));
-    connection.send(encodeParameter('integer_datetimes', 'on'));
-    connection.send(encodeParameter('standard_conforming_strings', 'on'));
+    connection.send(encodeParameterStatus('server_version', '16.0'));
+    connection.send(encodeParameterStatus('client_encoding', 'UTF8'));
+    connection.send(encodeParameterStatus('DateStyle', 'ISO, MDY'));
+    connection.send(encodeParameterStatus('integer_datetimes', 'on'));
+    connection.send(encodeParameterStatus('standard_conforming_strings', 'on'));
     const {incarnation} = host.member.identity;
-    connection.send(encodeParameter('group_incarnation', incarnation));
-    connection.send(encodeKeyData(this.processId, this.secret));
-    connection.send(encodeReady('idle'));
+    connection.send(encodeParameterStatus('group_incarnation', incarnation));
+    connection.send(encodeBackendKeyData(this.processId, this.secret));
+    connection.send(encodeReadyForQuery('idle'));
   }
 
-  private *handle(incoming: Incoming): Task<boolean> {
+  private *handle(incoming: ConnectionInput): Task<boolean> {
     if (incoming.kind !== 'frame') return false;
     const message = decodeFrontend(incoming.frame);
     if (!message) return false;
@@ -163,13 +163,14 @@
       case 'bind':
         return this.onBind(message);
       case 'describe':
-        return this.onDescribe(message.of, message.name);
+        return this.onDescribe(message.objectKind, message.name);
       case 'execute':
         return yield* this.onExecute(message.portal);
       case 'close':
-        (message.of === 'statement' ? this.statements : this.portals).delete(
-          message.name,
-        );
+        (message.objectKind === 'statement'
+          ? this.statements
+          : this.portals
+        ).delete(message.name);
         this.connection.send(CLOSE_COMPLETE);
         return;
       default:
@@ -185,7 +186,7 @@
 
   private ready(): void {
     if (this.status === 'idle') this.endTransaction();
-    this.connection.send(encodeReady(this.status));
+    this.connection.send(encodeReadyForQuery(this.status));
   }
 
   private fail(error: DatabaseError): void {
@@ -301,17 +302,17 @@
     let count = 0;
     let waiting: Buffer[] = [];
     for (const row of rows) {
-      waiting.push(encodeRow(row));
+      waiting.push(encodeDataRow(row));
       count++;
       if (count % ROWS_A_WRITE !== 0) continue;
       const keepsUp = this.connection.send(Buffer.concat(waiting));
       waiting = [];
       if (keepsUp) continue;
       this.connection.uncork();
-      yield* this.connection.drained();
+      yield* this.connection.waitForDrain();
       this.connection.cork();
       if (this.canceled.signal.aborted) throw canceled();
-      if (this.connection.closed.aborted) break;
+      if (this.connection.closedSignal.aborted) break;
     }
     this.connection.send(Buffer.concat(waiting));
     return count;
@@ -350,7 +351,7 @@
     const columns = [{name, type: TYPE_TEXT}];
     if (describe) this.connection.send(encodeRowDescription(columns));
     const value = this.variables.get(name) ?? '';
-    this.connection.send(encodeRow([value]));
+    this.connection.send(encodeDataRow([value]));
     this.complete('SHOW');
   }
 
@@ -361,7 +362,7 @@
   }
 
   private complete(tag: string): void {
-    this.connection.send(encodeComplete(tag));
+    this.connection.send(encodeCommandComplete(tag));
   }
 
   private current(): Transaction {
@@ -379,7 +380,7 @@
     if (!transaction?.hasWrites) return;
     const position = this.host.member.commit(transaction);
     const text = formatPosition(position);
-    this.connection.send(encodeParameter('group_position', text));
+    this.connection.send(encodeParameterStatus('group_position', text));
   }
 
   /** A transaction holds one of the member's slots until it ends. */
@@ -388,7 +389,7 @@
     if (this.canceled.signal.aborted) this.canceled = new AbortController();
     const signal = AbortSignal.any([
       this.canceled.signal,
-      this.connection.closed,
+      this.connection.closedSignal,
     ]);
     const taken = yield* settled(this.host.slots.acquire(signal));
     if ('value' in taken && taken.value) this.holdsSlot = true;
@@ -450,8 +451,8 @@
 /** Seconds of a pg_sleep in the select list, as milliseconds. */
 function sleepOf({type, node}: ParsedStatement): number {
   if (type !== 'SelectStmt') return 0;
-  const [, target] = openNode(listOf(node, 'targetList')[0]);
-  const [callType, call] = openNode(target['val']);
+  const [, target] = unwrapNode(listOf(node, 'targetList')[0]);
+  const [callType, call] = unwrapNode(target['val']);
   if (callType !== 'FuncCall') return 0;
   if (stringOf(listOf(call, 'funcname').at(-1)) !== 'pg_sleep') return 0;
   return Number(constantOf(listOf(call, 'args')[0])) * 1_000;
--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -1,7 +1,10 @@
 import {readdirSync} from 'node:fs';
 import {join} from 'node:path';
 import {describe, expect, it} from 'vitest';
-import {formatFault, siteOf} from '../src/services/settings/common/settings';
+import {
+  formatSettingsError,
+  siteOf,
+} from '../src/services/settings/common/settings';
 import {loadSettings} from '../src/services/settings/node/settings_files';
 
 describe.each(['derwent', 'volta'])('the deployment of %s', user => {
@@ -15,7 +18,7 @@
         join(folder, 'base.ini'),
         join(folder, overlay),
       );
-      const faults = loaded.isErr ? loaded.error.map(formatFault) : [];
+      const faults = loaded.isErr ? loaded.error.map(formatSettingsError) : [];
       expect(faults).toEqual([]);
       if (loaded.isErr) continue;
       expect(`${siteOf(loaded.value)}.ini`).toBe(overlay);
--- a/test/golden/transcript.ts
+++ b/test/golden/transcript.ts
@@ -1,21 +1,21 @@
 import {createConnection, type Socket} from 'node:net';
 import {serialize} from 'pg-protocol';
 import {
-  decodeComplete,
+  decodeCommandComplete,
   decodeDiagnostic,
-  decodeParameter,
-  decodeReady,
+  decodeParameterStatus,
+  decodeReadyForQuery,
 } from '../../src/services/wire/common/backend';
 import {
   bodyOf,
-  FrameSplitter,
+  FrameDecoder,
   type Frame,
 } from '../../src/services/wire/common/frames';
-import {BodyReader} from '../../src/services/wire/common/reader';
+import {BodyReader} from '../../src/services/wire/common/body_reader';
 
 /** A caller that writes down every frame it sees. */
 export class Transcript {
-  private readonly splitter = new FrameSplitter(1_000_000);
+  private readonly splitter = new FrameDecoder(1_000_000);
   private readonly lines: string[] = [];
   private waiting: (() => void) | undefined;
 
@@ -100,15 +100,15 @@
     case 'K':
       return undefined;
     case 'S':
-      return `parameter ${decodeParameter(body).join(' = ')}`;
+      return `parameter ${decodeParameterStatus(body).join(' = ')}`;
     case 'Z':
-      return `ready ${decodeReady(body)}`;
+      return `ready ${decodeReadyForQuery(body)}`;
     case 'T':
       return `columns ${columnsOf(body).join(', ')}`;
     case 'D':
       return `row ${valuesOf(body).join(', ')}`;
     case 'C':
-      return `complete ${decodeComplete(body)}`;
+      return `complete ${decodeCommandComplete(body)}`;
     case 'E':
     case 'N': {
       const {severity, code, message, hint} = decodeDiagnostic(body);
--- a/test/process/bad_input.test.ts
+++ b/test/process/bad_input.test.ts
@@ -2,7 +2,7 @@
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 import {serialize} from 'pg-protocol';
 import {Fleet} from '../../bench/fleet/fleet';
-import {FrameSplitter} from '../../src/services/wire/common/frames';
+import {FrameDecoder} from '../../src/services/wire/common/frames';
 import {SeededRandom} from '../../src/base/common/random';
 import {client, outcome, SERVICE} from '../support';
 
@@ -82,7 +82,7 @@
   it('ends a refused batch once, at its Sync', async () => {
     const parse = serialize.parse({text: 'LISTEN news'});
     const parts = [startup, parse, serialize.flush(), serialize.sync()];
-    const frames = new FrameSplitter(100_000).push(await send(parts));
+    const frames = new FrameDecoder(100_000).push(await send(parts));
     if ('type' in frames) throw new Error('not frames');
     const letters = frames.map(({type}) => String.fromCharCode(type)).join('');
     expect(letters).toMatch(/Z[^Z]*EZ$/);
