--- a/src/services/dispatch/common/checkout_queue.ts
+++ b/src/services/dispatch/common/checkout_queue.ts
@@ -11,25 +11,20 @@
 } from './checkout_request';
 import type {PrimaryOutage} from './primary_outage';
 
-/** The most requests that wait here; what is more has no chance. */
-const QUEUE_LIMIT = 256;
-const LEAST_RETRY_MS = 40;
-/**
- * What waits already is refused early where it would wait this much longer
- * than it may; less is within the error of the measured rate.
- */
-const HOPELESS_FACTOR = 1.5;
+const MAX_QUEUE_LENGTH = 256;
+const MIN_RETRY_DELAY_MS = 40;
+/** Allows for the error of the measured rate before a request is dropped. */
+const OVERRUN_FACTOR = 1.5;
 
 type Kind = CheckoutRequirement['kind'];
 
 /**
- * Requests of one service that wait for a connection, and the decision who may
- * wait at all: what cannot be met in time is refused at once, with the time to
- * come back.
+ * The requests of one service that are queued for a connection. A request that
+ * cannot be served in time is refused at once, with a retry delay.
  *
- * By class, a full queue makes room for the more urgent, what the more urgent
- * have pushed beyond its time is refused early, and those who are refused come
- * back at different times.
+ * With priority classes, a full queue drops the least urgent request for a more
+ * urgent one, requests displaced by more urgent ones are refused early, and
+ * retry delays are spread.
  */
 export class CheckoutQueue<G> {
   private readonly queue = new FairQueue<CheckoutRequest<G>>();
@@ -38,8 +33,8 @@
     read: new DrainRate(),
   };
   private readonly counts: Record<Kind, number> = {primary: 0, read: 0};
-  private readonly returns = new RetryPacer();
-  private isByClass = false;
+  private readonly retryPacer = new RetryPacer();
+  private usesClasses = false;
 
   constructor(private readonly outage: PrimaryOutage) {}
 
@@ -47,79 +42,83 @@
     return this.queue.size;
   }
 
-  setUsesClasses(isByClass: boolean): void {
-    this.isByClass = isByClass;
-    this.queue.setMinShares(isByClass);
+  setUsesClasses(usesClasses: boolean): void {
+    this.usesClasses = usesClasses;
+    this.queue.setMinShares(usesClasses);
   }
 
-  /** Lets a request wait, or refuses it. */
+  /** Queues a request, or refuses it at once. */
   add(request: CheckoutRequest<G>, now: number): void {
     const refusal =
-      this.outageRefusal(request, now) ??
-      this.hopeless(request, now) ??
-      this.full(request, now);
+      this.checkOutage(request, now) ??
+      this.checkExpectedWait(request, now) ??
+      this.checkCapacity(request, now);
     if (refusal) return request.settle(err(refusal));
     const {kind} = request.requirement;
     this.queue.add(request);
     this.counts[kind]++;
-    this.rates[kind].onWaiting(now);
+    this.rates[kind].onQueued(now);
   }
 
-  /** Offers the waiting requests places, in fair order. */
+  /** Checks out connections for queued requests, in fair order. */
   serve(
     now: number,
-    place: (request: CheckoutRequest<G>) => G | undefined,
+    checkOut: (request: CheckoutRequest<G>) => G | undefined,
   ): void {
     if (this.queue.size === 0) return;
     this.queue.offer(now, request => {
-      const grant = place(request);
-      if (!grant) return 'later';
+      const checkout = checkOut(request);
+      if (!checkout) return 'later';
       const {kind} = request.requirement;
-      const left = --this.counts[kind];
-      this.rates[kind].onPlaced(now, left > 0);
-      request.settle(ok(grant));
+      const leftCount = --this.counts[kind];
+      this.rates[kind].onServed(now, leftCount > 0);
+      request.settle(ok(checkout));
       return 'taken';
     });
   }
 
-  /** Takes out a request that nobody waits for any more. */
-  withdraw(request: CheckoutRequest<G>): void {
+  /** Removes a request whose caller abandoned it. */
+  cancel(request: CheckoutRequest<G>): void {
     if (!this.remove(request)) return;
     const detail = 'left the queue';
     request.settle(err({reason: 'abandoned', retryAfterMs: 0, detail}));
   }
 
-  /** Gives up what waited as long as makes sense for its caller. */
+  /** Refuses the requests that can no longer be served in time. */
   expire(now: number): void {
-    const late: [CheckoutRequest<G>, CheckoutRefusal][] = [];
-    const before: Record<Kind, number> = {primary: 0, read: 0};
+    const refused: [CheckoutRequest<G>, CheckoutRefusal][] = [];
+    const aheadCounts: Record<Kind, number> = {primary: 0, read: 0};
     for (const request of this.queue.inOrder()) {
       const refusal =
-        this.outageRefusal(request, now) ??
-        this.lateRefusal(request, now) ??
-        this.pushedOut(request, before, now);
-      if (refusal) late.push([request, refusal]);
-      else if (request.dueAt > now) before[request.requirement.kind]++;
+        this.checkOutage(request, now) ??
+        this.checkWaitBudget(request, now) ??
+        this.checkDisplaced(request, aheadCounts, now);
+      if (refusal) refused.push([request, refusal]);
+      else if (request.dueAt > now) aheadCounts[request.requirement.kind]++;
     }
-    for (const [request, refusal] of late) {
+    for (const [request, refusal] of refused) {
       this.remove(request);
       request.settle(err(refusal));
     }
   }
 
   /**
-   * How long new work would wait, by need and by each priority that waits;
-   * what is less urgent waits at least as long.
+   * The expected wait of a new request, by requirement and by queued priority.
+   * Less urgent requests wait at least as long.
    */
   expectedWaits(now: number): CheckoutWait[] {
     const waits: CheckoutWait[] = [];
     for (const kind of KINDS) {
-      // Without a primary work waits for that, and not for its turn.
-      const isOutage = this.isOutageFor({kind}, now);
+      // Without a primary, requests wait for its replacement instead.
+      const isOutage = this.isBlockedByOutage({kind}, now);
       if (this.counts[kind] === 0 || isOutage) continue;
       for (const priority of this.queue.priorities) {
-        const ahead = this.aheadOf({caller: NEW_CALLER, priority}, kind, now);
-        const waitMs = this.rates[kind].expectedWaitMs(ahead, now);
+        const aheadCount = this.countAhead(
+          {caller: NEW_CALLER, priority},
+          kind,
+          now,
+        );
+        const waitMs = this.rates[kind].expectedWaitMs(aheadCount, now);
         waits.push({needsPrimary: kind === 'primary', priority, waitMs});
       }
     }
@@ -133,171 +132,200 @@
     return true;
   }
 
-  /** How many of a kind go before one that is in time. */
-  private aheadOf(
-    one: Pick<CheckoutRequest<G>, 'caller' | 'priority'>,
+  /** Counts the requests of a kind that are served before this one. */
+  private countAhead(
+    request: Pick<CheckoutRequest<G>, 'caller' | 'priority'>,
     kind: Kind,
     now: number,
     isOverdue = false,
   ): number {
-    return this.queue.countAhead(one, other => {
-      const goesFirst = isOverdue || other.dueAt > now;
-      return other.requirement.kind === kind && goesFirst;
+    return this.queue.countAhead(request, queued => {
+      const goesFirst = isOverdue || queued.dueAt > now;
+      return queued.requirement.kind === kind && goesFirst;
     });
   }
 
-  private hopeless(
+  private checkExpectedWait(
     request: CheckoutRequest<G>,
     now: number,
   ): CheckoutRefusal | undefined {
-    const estimate = this.estimateOf(request, now);
-    const {expectedMs, room} = estimate;
-    const isOutage = this.isOutageFor(request.requirement, now);
-    if (isOutage || expectedMs <= room) return undefined;
-    return this.overloaded(estimate, now);
+    const estimate = this.estimateWait(request, now);
+    const {expectedWaitMs, maxWaitMs} = estimate;
+    const isOutage = this.isBlockedByOutage(request.requirement, now);
+    if (isOutage || expectedWaitMs <= maxWaitMs) return undefined;
+    return this.makeOverloadedRefusal(estimate, now);
   }
 
-  /** Refuses where the queue is full, of what is as urgent by class. */
-  private full(
+  /** Refuses a request if the queue is full of requests as urgent. */
+  private checkCapacity(
     request: CheckoutRequest<G>,
     now: number,
   ): CheckoutRefusal | undefined {
-    if (this.queue.size < QUEUE_LIMIT) return undefined;
-    if (this.isByClass && this.makeRoom(request, now)) return undefined;
-    return this.overloaded(this.estimateOf(request, now), now);
+    if (this.queue.size < MAX_QUEUE_LENGTH) return undefined;
+    if (this.usesClasses && this.evictFor(request, now)) return undefined;
+    return this.makeOverloadedRefusal(this.estimateWait(request, now), now);
   }
 
-  /** How long one that comes now would wait, and may. */
-  private estimateOf(request: CheckoutRequest<G>, now: number): WaitEstimate {
+  private estimateWait(request: CheckoutRequest<G>, now: number): WaitEstimate {
     const {requirement, requestedAt, waitBudgetMs, dueAt} = request;
     const {kind} = requirement;
-    const ahead = this.aheadOf(request, kind, now, dueAt <= now);
-    const expectedMs = this.rates[kind].expectedWaitMs(ahead, now);
-    return {kind, ahead, expectedMs, room: requestedAt + waitBudgetMs - now};
+    const aheadCount = this.countAhead(request, kind, now, dueAt <= now);
+    const expectedWaitMs = this.rates[kind].expectedWaitMs(aheadCount, now);
+    return {
+      kind,
+      aheadCount,
+      expectedWaitMs,
+      maxWaitMs: requestedAt + waitBudgetMs - now,
+    };
   }
 
-  /** Refuses the last of the least urgent for a more urgent request. */
-  private makeRoom({priority}: CheckoutRequest<G>, now: number): boolean {
+  /** Refuses the last of the least urgent requests in favor of this one. */
+  private evictFor({priority}: CheckoutRequest<G>, now: number): boolean {
     let last: CheckoutRequest<G> | undefined;
-    for (const other of this.queue.inOrder()) last = other;
+    for (const queued of this.queue.inOrder()) last = queued;
     if (!last || last.priority <= priority) return false;
     this.remove(last);
     const {kind} = last.requirement;
-    const ahead = this.counts[kind];
-    const expectedMs = this.rates[kind].expectedWaitMs(ahead, now);
-    const room = last.requestedAt + last.waitBudgetMs - now;
-    last.settle(err(this.overloaded({kind, ahead, expectedMs, room}, now)));
+    const aheadCount = this.counts[kind];
+    const expectedWaitMs = this.rates[kind].expectedWaitMs(aheadCount, now);
+    const maxWaitMs = last.requestedAt + last.waitBudgetMs - now;
+    last.settle(
+      err(
+        this.makeOverloadedRefusal(
+          {kind, aheadCount, expectedWaitMs, maxWaitMs},
+          now,
+        ),
+      ),
+    );
     return true;
   }
 
-  /** Refuses what more urgent requests have pushed beyond its time. */
-  private pushedOut(
+  /** Refuses a request that more urgent ones displaced beyond its wait. */
+  private checkDisplaced(
     request: CheckoutRequest<G>,
-    before: Readonly<Record<Kind, number>>,
+    aheadCounts: Readonly<Record<Kind, number>>,
     now: number,
   ): CheckoutRefusal | undefined {
     const {requirement, dueAt} = request;
     const {kind} = requirement;
-    if (!this.isByClass || this.isOutageFor(requirement, now) || dueAt <= now) {
+    if (
+      !this.usesClasses ||
+      this.isBlockedByOutage(requirement, now) ||
+      dueAt <= now
+    ) {
       return undefined;
     }
-    const ahead = before[kind];
-    const expectedMs = this.rates[kind].drainMs(ahead);
-    const room = this.untilOf(request, now) - now;
-    if (expectedMs <= room * HOPELESS_FACTOR) return undefined;
-    return this.overloaded({kind, ahead, expectedMs, room}, now);
+    const aheadCount = aheadCounts[kind];
+    const expectedWaitMs = this.rates[kind].drainMs(aheadCount);
+    const maxWaitMs = this.waitDeadlineOf(request, now) - now;
+    if (expectedWaitMs <= maxWaitMs * OVERRUN_FACTOR) return undefined;
+    return this.makeOverloadedRefusal(
+      {kind, aheadCount, expectedWaitMs, maxWaitMs},
+      now,
+    );
   }
 
-  private overloaded(
-    {kind, ahead, expectedMs, room}: WaitEstimate,
+  private makeOverloadedRefusal(
+    {kind, aheadCount, expectedWaitMs, maxWaitMs}: WaitEstimate,
     now: number,
   ): CheckoutRefusal {
-    const detail = `ahead=${ahead} room=${Math.round(room)}`;
-    return this.refuse('overloaded', {kind, afterMs: expectedMs, detail}, now);
+    const detail = `ahead=${aheadCount} maxWait=${Math.round(maxWaitMs)}`;
+    return this.makeRefusal(
+      'overloaded',
+      {kind, delayMs: expectedWaitMs, detail},
+      now,
+    );
   }
 
-  private outageRefusal(
+  private checkOutage(
     {requirement, requestedAt, deadline}: CheckoutRequest<G>,
     now: number,
   ): CheckoutRefusal | undefined {
     if (requirement.kind !== 'primary') return undefined;
-    const end = this.outage.expectedEndAt(now);
-    if (end === undefined || end <= deadline) return undefined;
+    const endAt = this.outage.expectedEndAt(now);
+    if (endAt === undefined || endAt <= deadline) return undefined;
     const detail = `waited=${Math.round(now - requestedAt)}`;
-    const afterMs = end - now;
-    return this.refuse('no primary', {kind: 'primary', afterMs, detail}, now);
+    const delayMs = endAt - now;
+    return this.makeRefusal(
+      'no primary',
+      {kind: 'primary', delayMs, detail},
+      now,
+    );
   }
 
-  private lateRefusal(
+  private checkWaitBudget(
     request: CheckoutRequest<G>,
     now: number,
   ): CheckoutRefusal | undefined {
     const {requestedAt, requirement} = request;
-    if (now < this.untilOf(request, now)) return undefined;
+    if (now < this.waitDeadlineOf(request, now)) return undefined;
     const rate = this.rates[requirement.kind];
     const detail = `waited=${Math.round(now - requestedAt)} need=${requirement.kind}`;
-    const afterMs = rate.expectedWaitMs(this.counts[requirement.kind], now);
-    return this.refuse(
+    const delayMs = rate.expectedWaitMs(this.counts[requirement.kind], now);
+    return this.makeRefusal(
       'no member',
-      {kind: requirement.kind, afterMs, detail},
+      {kind: requirement.kind, delayMs, detail},
       now,
     );
   }
 
-  /** Until when a request may wait. */
-  private untilOf(
+  private waitDeadlineOf(
     {requestedAt, deadline, waitBudgetMs, requirement}: CheckoutRequest<G>,
     now: number,
   ): number {
-    if (this.isOutageFor(requirement, now)) return deadline;
-    // Who waited for a primary waits for its turn from when there was one.
+    if (this.isBlockedByOutage(requirement, now)) return deadline;
+    // The wait budget starts anew once an outage of the primary has ended.
     const isPrimary = requirement.kind === 'primary';
-    const from = isPrimary
+    const startsAt = isPrimary
       ? Math.max(requestedAt, this.outage.endedAt)
       : requestedAt;
-    return from + waitBudgetMs;
+    return startsAt + waitBudgetMs;
   }
 
-  private isOutageFor(
+  private isBlockedByOutage(
     {kind}: Pick<CheckoutRequirement, 'kind'>,
     now: number,
   ): boolean {
     return kind === 'primary' && this.outage.expectedEndAt(now) !== undefined;
   }
 
-  private refuse(
+  private makeRefusal(
     reason: CheckoutRefusal['reason'],
-    {kind, afterMs, detail}: RefusalGround,
+    {kind, delayMs, detail}: RefusalInputs,
     now: number,
   ): CheckoutRefusal {
-    const least = Math.max(LEAST_RETRY_MS, afterMs);
-    if (!this.isByClass) {
-      return {reason, retryAfterMs: Math.ceil(least), detail};
+    const minDelayMs = Math.max(MIN_RETRY_DELAY_MS, delayMs);
+    if (!this.usesClasses) {
+      return {reason, retryAfterMs: Math.ceil(minDelayMs), detail};
     }
     const intervalMs = this.rates[kind].drainMs(1);
     const retryAfterMs = Math.ceil(
-      this.returns.nextDelayMs(now, least, intervalMs),
+      this.retryPacer.nextDelayMs(now, minDelayMs, intervalMs),
     );
-    const expected = `expected=${Math.round(afterMs)}`;
-    return {reason, retryAfterMs, detail: `${detail} ${expected} word=own`};
+    const expectedWait = `expected=${Math.round(delayMs)}`;
+    return {
+      reason,
+      retryAfterMs,
+      detail: `${detail} ${expectedWait} source=local`,
+    };
   }
 }
 
 const KINDS: readonly Kind[] = ['primary', 'read'];
-/** One that nobody waits for yet. */
+/** A caller without queued requests. */
 const NEW_CALLER = callerName('');
 
 interface WaitEstimate {
   readonly kind: Kind;
-  readonly ahead: number;
-  readonly expectedMs: number;
-  /** How long it may wait still, in milliseconds. */
-  readonly room: number;
+  readonly aheadCount: number;
+  readonly expectedWaitMs: number;
+  /** What is left of the wait budget. */
+  readonly maxWaitMs: number;
 }
 
-interface RefusalGround {
+interface RefusalInputs {
   readonly kind: Kind;
-  readonly afterMs: number;
-  /** The inputs that decided, for the log. */
+  readonly delayMs: number;
+  /** The inputs of the decision, for the log. */
   readonly detail: string;
 }
--- a/src/services/dispatch/common/checkout_request.ts
+++ b/src/services/dispatch/common/checkout_request.ts
@@ -3,65 +3,64 @@
 import type {QueuedRequest} from '../../admission/common/fair_queue';
 import type {Position} from '../../position/common/position';
 
-/** What a transaction needs a member for. */
+/** Which members may serve a transaction. */
 export type CheckoutRequirement =
   /** A write, or a read that must see every acknowledged commit. */
   | {readonly kind: 'primary'}
-  /** A read that must see every commit acknowledged before a time. */
+  /** A read that must see every commit acknowledged before a moment. */
   | {
       readonly kind: 'read';
-      /** On the clock of the dispatcher, in milliseconds. */
+      /** On the dispatcher's clock. */
       readonly minReadAt: number;
       readonly ownCommit: OwnCommit | undefined;
     };
 
-/** A session's own newest commit. */
+/** The last commit of a session, which its next reads must see. */
 export interface OwnCommit {
   readonly position: Position;
-  /** When it was acknowledged, on the clock of the dispatcher. */
+  /** On the dispatcher's clock. */
   readonly acknowledgedAt: number;
 }
 
-/** A transaction that waits for a connection to a member. */
+/** A queued request for a pooled connection to a member. */
 export interface CheckoutRequest<G> extends QueuedRequest {
   readonly caller: CallerName;
-  /** Whose connections it may use. */
+  /** The user whose connections it may use. */
   readonly user: MemberUser;
   readonly requirement: CheckoutRequirement;
-  /** Session values, to prefer a connection that has them. */
+  /** Session settings; a connection that has them is preferred. */
   readonly values: ReadonlyMap<string, string>;
-  /** Members that did not serve this request before. */
+  /** Members that already failed to serve this request. */
   readonly triedInstances: ReadonlySet<string>;
-  /** When it began to ask for places, on the clock of the dispatcher. */
+  /** When it was queued, on the dispatcher's clock. */
   readonly requestedAt: number;
-  /** How long it may wait for a place in all, in milliseconds. */
+  /** How long it may be queued. */
   readonly waitBudgetMs: number;
   settle(outcome: Result<G, CheckoutRefusal>): void;
 }
 
-/** Why no place was given; nothing has run. */
+/** Why a request got no connection; nothing has run. */
 export interface CheckoutRefusal {
   readonly reason:
     | 'overloaded'
     | 'no primary'
     | 'no member'
     | 'stopping'
-    /** Its caller is gone, or gave it up. */
+    /** The caller left or cancelled the request. */
     | 'abandoned'
-    /** The account asks for more than it may. */
+    /** The account exceeds its rate limit. */
     | 'over its limit'
-    /** Nobody could say whether the account may ask for more. */
+    /** No counter of the account's rate limit was reachable. */
     | 'no counter';
-  /** When to come back, in milliseconds. */
+  /** When the caller should retry. */
   readonly retryAfterMs: number;
-  /** The inputs that decided, for the log. */
+  /** The inputs of the decision, for the log. */
   readonly detail: string;
 }
 
-/** How long new work of a kind would wait for a place, as far as is known. */
+/** How long a new request is expected to wait for a connection. */
 export interface CheckoutWait {
   readonly needsPrimary: boolean;
   readonly priority: number;
-  /** In milliseconds. */
   readonly waitMs: number;
 }
--- a/src/services/dispatch/common/choose_member.ts
+++ b/src/services/dispatch/common/choose_member.ts
@@ -1,69 +1,67 @@
 import type {Position} from '../../position/common/position';
 
-/** What a choice needs to know of one member. */
+/** The state of one member, as far as the choice for a read depends on it. */
 export interface MemberView {
   readonly instance: string;
   readonly isPrimary: boolean;
   readonly isDraining: boolean;
-  /** Fails or is silent at present. */
+  /** Unreachable, and without an idle connection of the user. */
   readonly isFailing: boolean;
-  /** Transactions of this instance that are on the member now. */
+  /** Transactions that this instance runs on the member. */
   readonly runningCount: number;
   readonly slots: number;
-  /** Smoothed time of an answer with its way, in milliseconds. */
+  /** Smoothed response time, including the round trip. */
   readonly latencyMs: number;
-  /** Whether a connection is free, or one may be opened. */
+  /** Whether a connection is idle or may be opened. */
   readonly isAvailable: boolean;
-  /** No connection of the account is free: one has to be opened first. */
+  /** No connection of the account is idle; one has to be opened first. */
   readonly needsConnect: boolean;
-  /** How far behind it was seen lately, in milliseconds. */
+  /** How far behind the primary it was recently; 0 if unknown. */
   readonly lagMs: number;
   readonly isSameRegion: boolean;
 }
 
-/** What a read may accept. */
+/** Which members may serve a read. */
 export interface ReadMemberRequirement {
-  /** Undefined where only the primary can tell what is new enough. */
+  /** Undefined if only the primary is known to be fresh enough. */
   readonly minPosition: Position | undefined;
-  /** How far behind a replica may be to hold that, in milliseconds. */
+  /** How far behind a replica may be and still hold that position. */
   readonly maxLagMs: number;
-  /** Members that did not serve this request before. */
+  /** Members that already failed to serve this request. */
   readonly triedInstances: ReadonlySet<string>;
 }
 
-/**
- * A replica answers in 4 to 170 ms here and a way between regions takes 24 to
- * 40 ms both ways; what a read from another region costs in bytes is weighed
- * as so much more time.
- */
-const FAR_PENALTY_MS = 25;
-/** Reads leave the primary's slots to writes while a replica is as quick. */
+/** The cost of traffic between regions, expressed as time. */
+const OTHER_REGION_PENALTY_MS = 25;
+/** Leaves the primary's slots to writes while a replica is as fast. */
 const PRIMARY_PENALTY_MS = 15;
-/** An opening takes 12 to 27 ms of a slot, and two ways. */
-const OPENING_PENALTY_MS = 20;
+const CONNECT_PENALTY_MS = 20;
 
 /**
- * The member with the least expected time for a read, or undefined where none
- * that may serve it has room.
+ * Returns the available member with the lowest expected cost for a read, or
+ * undefined if there is none.
  */
 export function chooseReadMember(
   members: readonly MemberView[],
-  need: ReadMemberRequirement,
+  requirement: ReadMemberRequirement,
 ): MemberView | undefined {
   let best: MemberView | undefined;
-  let least = Infinity;
+  let lowestCost = Infinity;
   for (const member of members) {
-    if (!mayRead(member, need)) continue;
-    const cost = costOf(member);
-    if (cost >= least) continue;
+    if (!canServe(member, requirement)) continue;
+    const cost = computeCost(member);
+    if (cost >= lowestCost) continue;
     best = member;
-    least = cost;
+    lowestCost = cost;
   }
   return best;
 }
 
-function mayRead(member: MemberView, need: ReadMemberRequirement): boolean {
-  const {minPosition, maxLagMs, triedInstances} = need;
+function canServe(
+  member: MemberView,
+  requirement: ReadMemberRequirement,
+): boolean {
+  const {minPosition, maxLagMs, triedInstances} = requirement;
   if (!member.isAvailable || member.isDraining || member.isFailing) {
     return false;
   }
@@ -72,10 +70,10 @@
   return minPosition !== undefined && member.lagMs <= maxLagMs;
 }
 
-function costOf(member: MemberView): number {
+function computeCost(member: MemberView): number {
   const load = (member.runningCount + 1) / Math.max(1, member.slots);
-  const far = member.isSameRegion ? 0 : FAR_PENALTY_MS;
-  const lead = member.isPrimary ? PRIMARY_PENALTY_MS : 0;
-  const opening = member.needsConnect ? OPENING_PENALTY_MS : 0;
-  return member.latencyMs * Math.max(1, load) + far + lead + opening;
+  const regionMs = member.isSameRegion ? 0 : OTHER_REGION_PENALTY_MS;
+  const roleMs = member.isPrimary ? PRIMARY_PENALTY_MS : 0;
+  const connectMs = member.needsConnect ? CONNECT_PENALTY_MS : 0;
+  return member.latencyMs * Math.max(1, load) + regionMs + roleMs + connectMs;
 }
--- a/src/services/dispatch/common/concurrency_window.ts
+++ b/src/services/dispatch/common/concurrency_window.ts
@@ -1,35 +1,32 @@
-/** After a refusal this part of what ran is tried further on. */
-const DECREASE = 0.7;
-/** A window this wide is no limit any more: members queue 16 to 24. */
-const WIDEST = 32;
+const DECREASE_FACTOR = 0.7;
+/** Above what a member runs and queues, so that it sets no limit. */
+const MAX_WINDOW = 32;
 
 /**
- * How many transactions an instance runs on one member at a time.
+ * Limits the transactions that an instance runs on one member at a time.
  *
- * A member has two to five slots and a short queue that all instances share,
- * without a word between them. Where it refuses for want of room, the window
- * shrinks by a third; each answer widens it a little. What does not fit waits
- * here, in order of priority, and is refused here in time, instead of coming
- * back from the member again and again.
+ * Instances share a member's slots and its short queue without coordination.
+ * The window uses additive increase and multiplicative decrease, so that excess
+ * requests are queued here by priority instead of being refused by the member.
  */
 export class ConcurrencyWindow {
-  private width = WIDEST;
+  private window = MAX_WINDOW;
 
-  /** Transactions at a time. */
+  /** Transactions that may run at a time, at least one. */
   get size(): number {
-    return Math.max(1, Math.floor(this.width));
+    return Math.max(1, Math.floor(this.window));
   }
 
-  allows(running: number): boolean {
-    return running < this.size;
+  allows(runningCount: number): boolean {
+    return runningCount < this.size;
   }
 
   onAnswer(): void {
-    this.width = Math.min(WIDEST, this.width + 1 / this.width);
+    this.window = Math.min(MAX_WINDOW, this.window + 1 / this.window);
   }
 
-  onBusy(running: number): void {
-    const reached = Math.min(this.width, running);
-    this.width = Math.max(1, reached * DECREASE);
+  onBusy(runningCount: number): void {
+    const usedWindow = Math.min(this.window, runningCount);
+    this.window = Math.max(1, usedWindow * DECREASE_FACTOR);
   }
 }
--- a/src/services/dispatch/common/connection_policy.ts
+++ b/src/services/dispatch/common/connection_policy.ts
@@ -1,90 +1,88 @@
 import type {MemberUser} from '../../../base/common/ids';
 
-/** A connection that nobody uses at present. */
+/** An open connection that no transaction uses. */
 export interface IdleConnection {
   readonly user: MemberUser;
-  readonly idleSince: number;
-  /** Session values that are set on it. */
+  readonly becameIdleAt: number;
+  /** Session settings in effect on it. */
   readonly values: ReadonlyMap<string, string>;
 }
 
-/** What a connection is wanted for. */
+/** Which connection a request may use. */
 export interface ConnectionRequirement {
   readonly user: MemberUser;
-  /** Values of the session, to prefer a connection that has them. */
+  /** Session settings; a connection that has them is preferred. */
   readonly values: ReadonlyMap<string, string>;
 }
 
-/** How many connections to a member there are, and may be. */
+/** The connections to a member, and their limit. */
 export interface ConnectionCounts {
   readonly open: number;
   readonly connecting: number;
-  /** Being opened for the user in question. */
+  /** Connects in progress for the user in question. */
   readonly connectingForUser: number;
   readonly limit: number;
-  /** Control handed the limit out: others do not open beyond it. */
+  /** Whether control granted the limit, dividing it between instances. */
   readonly isGranted: boolean;
 }
 
-/** Whose connection to give, whom to close for whom, and when to open. */
+/** Which connection to use, which to close, and when to connect. */
 export interface ConnectionPolicy {
-  /** The connection for a need; undefined where none fits. */
+  /** Returns the idle connection to use; undefined if none fits. */
   choose<C extends IdleConnection>(
     idle: readonly C[],
-    need: ConnectionRequirement,
+    requirement: ConnectionRequirement,
   ): C | undefined;
-  /** The connection to close for another user; undefined where none should. */
+  /** Returns the idle connection to close in favor of a user, if any. */
   chooseVictim<C extends IdleConnection>(
     idle: readonly C[],
     user: MemberUser,
   ): C | undefined;
-  /** Whether one more may be opened, closing a victim where it has to. */
+  /** Whether to connect once more, closing a victim at the limit. */
   canConnect(counts: ConnectionCounts, hasVictim: boolean): boolean;
 }
 
 /**
- * Connections that are opened at once for one user. Each takes 12 to 27 ms of
- * one of a member's few slots: after a common restart, openings side by side by
- * all instances kept the members busy with nothing else for most of a second.
+ * Connects use the members' slots; after a common restart, concurrent connects
+ * of all instances would keep the members from serving.
  */
-const MOST_OPENING_FOR_USER = 1;
-/** The same where control sees to it that not all instances do so at once. */
-const MOST_GRANTED_FOR_USER = 2;
+const MAX_CONNECTING_PER_USER = 1;
+/** Higher, since a grant limits the connects of all instances. */
+const MAX_CONNECTING_PER_USER_GRANTED = 2;
 /**
- * The same for all users together: connections of different accounts cannot
- * stand in for each other, and one after the other they would come at the rate
- * of ways between regions.
+ * Accounts cannot use each other's connections, and serial connects would take
+ * a round trip each.
  */
-const MOST_OPENING = 3;
+const MAX_CONNECTING = 3;
 
-/** Closes the connection that rested longest for a user who has none. */
+/** Closes the connection that was idle the longest for another user. */
 export class LeastRecentlyUsed implements ConnectionPolicy {
   choose<C extends IdleConnection>(
     idle: readonly C[],
     {user, values}: ConnectionRequirement,
   ): C | undefined {
     const own = idle.filter(connection => connection.user === user);
-    const fitting = own.findLast(connection => {
+    const matching = own.findLast(connection => {
       return hasSameValues(connection.values, values);
     });
-    return fitting ?? own.at(-1);
+    return matching ?? own.at(-1);
   }
 
   chooseVictim<C extends IdleConnection>(
     idle: readonly C[],
     user: MemberUser,
   ): C | undefined {
-    // Kept in the order in which they became idle.
+    // The list is in the order in which connections became idle.
     return idle.find(connection => connection.user !== user);
   }
 
   canConnect(counts: ConnectionCounts, hasVictim: boolean): boolean {
     const {open, connecting, connectingForUser, limit, isGranted} = counts;
-    const mostForUser = isGranted
-      ? MOST_GRANTED_FOR_USER
-      : MOST_OPENING_FOR_USER;
-    if (connectingForUser >= mostForUser) return false;
-    if (connecting >= MOST_OPENING) return false;
+    const maxForUser = isGranted
+      ? MAX_CONNECTING_PER_USER_GRANTED
+      : MAX_CONNECTING_PER_USER;
+    if (connectingForUser >= maxForUser) return false;
+    if (connecting >= MAX_CONNECTING) return false;
     return open + connecting < limit || hasVictim;
   }
 }
--- a/src/services/dispatch/common/connection_share.ts
+++ b/src/services/dispatch/common/connection_share.ts
@@ -1,84 +1,78 @@
-/** What decides how many connections to a member an instance may hold. */
+/** The inputs of an instance's connection limit for a member. */
 export interface ShareInputs {
-  /** Connections to the member that all instances together may have. */
+  /** Connections to the member that all instances together may use. */
   readonly usableCount: number;
-  /** The same for each instance; may be below 1. */
+  /** This instance's equal share of them; may be below 1. */
   readonly equalShare: number;
-  /** How long this instance has had the service, in milliseconds. */
+  /** How long this instance has known the service. */
   readonly ageMs: number;
 }
 
-/** The instances that share the connections of a service. */
+/** The instances that share the connections to a service's members. */
 export interface ConnectionPeers {
   readonly instanceCount: number;
-  /** Those of this instance's region; 0 where regions do not matter. */
+  /** Those in this instance's region; 0 if regions are ignored. */
   readonly sameRegionCount: number;
-  /** Others keep the connections; this instance is none of them. */
+  /** Only poolers keep connections, and this instance is not one. */
   readonly isPooledElsewhere: boolean;
 }
 
 /**
- * Where work of an account goes to one instance of the region in which it is
- * done, instances of other regions need connections to a member only when it
- * stands in for others; they get what is left.
+ * An account's requests go to an instance in the region that serves them, so
+ * instances in other regions need few connections to a member.
  */
-const NEAR_PART = 0.8;
+const SAME_REGION_FRACTION = 0.8;
 
-/** Connections to one member for each instance; may be below 1. */
+/** Returns an instance's equal share of a member; may be below 1. */
 export function computeEqualShare(
-  shared: number,
+  usableCount: number,
   {
     instanceCount,
     sameRegionCount,
   }: Pick<ConnectionPeers, 'instanceCount' | 'sameRegionCount'>,
-  isNear: boolean,
+  isSameRegion: boolean,
 ): number {
-  const far = instanceCount - sameRegionCount;
-  if (sameRegionCount === 0 || far === 0) {
-    return shared / Math.max(1, instanceCount);
+  const otherRegionCount = instanceCount - sameRegionCount;
+  if (sameRegionCount === 0 || otherRegionCount === 0) {
+    return usableCount / Math.max(1, instanceCount);
   }
-  return isNear
-    ? (shared * NEAR_PART) / sameRegionCount
-    : (shared * (1 - NEAR_PART)) / far;
+  return isSameRegion
+    ? (usableCount * SAME_REGION_FRACTION) / sameRegionCount
+    : (usableCount * (1 - SAME_REGION_FRACTION)) / otherRegionCount;
 }
 
-/** More connections than the equal share, where others rest. */
+/** Instances may exceed their equal share, since most others are idle. */
 const SHARE_FACTOR = 3;
 /**
- * A share that mostly suffices is exceeded by half only: poolers near a primary
- * would else take all its connections, and those of other regions could use
- * none of its slots. Five serve 90 statements a second over 40 ms and the work;
- * transactions that rest hold some of them.
+ * An ample share may be exceeded by less. Otherwise poolers near a primary
+ * could take all its connections and leave no slots to other regions.
  */
 const AMPLE_SHARE = 5;
 const AMPLE_FACTOR = 1.5;
 /**
- * Members count the connections of processes that lost power for 3 s, and a
- * fleet that lost power together has its services again some 2 s after the
- * loss. Until then an instance takes half of its share, in milliseconds: nine
- * instances before 16 connections, 14 of them of the dead, else left all that
- * was free to the two that asked first.
+ * After a common power loss, members still count the connections of the crashed
+ * processes. New processes take less than their share until those time out.
  */
-const RESTART_MS = 1_500;
-const RESTART_PART = 0.5;
+const RESTART_GRACE_MS = 1_500;
+const RESTART_SHARE_FRACTION = 0.5;
 
-/** Connections that an instance may have to one member. */
+/** Returns the connections that an instance may have to one member. */
 export function computeConnectionLimit({
   usableCount,
   equalShare,
   ageMs,
 }: ShareInputs): number {
-  if (ageMs < RESTART_MS) {
-    return Math.max(1, Math.floor(equalShare * RESTART_PART));
+  if (ageMs < RESTART_GRACE_MS) {
+    return Math.max(1, Math.floor(equalShare * RESTART_SHARE_FRACTION));
   }
   const share = Math.max(1, Math.floor(equalShare));
   const factor = share >= AMPLE_SHARE ? AMPLE_FACTOR : SHARE_FACTOR;
   return Math.min(usableCount, Math.floor(share * factor));
 }
 
-/** What decides whether a connection to a member is kept without work. */
+/** The inputs of the decision to keep an idle connection to a member. */
 export interface IdleView {
-  /** Connections belong to accounts: one kept for nobody serves nobody. */
+  /** Connections belong to accounts; an unused one helps no other. */
   readonly servesAccounts: boolean;
   readonly equalShare: number;
   readonly isPrimary: boolean;
@@ -86,11 +80,9 @@
 }
 
 /**
- * Whether one connection to a member is kept while it has no work. All work may
- * need the primary at once, and reads go to replicas of the own region; one of
- * another region is opened where it is needed. Nine instances else held 11 of
- * 16 connections of replicas that ran half a statement at a time, and after a
- * common restart those of the dead processes left little room.
+ * Whether to keep one idle connection to a member. Any request may need the
+ * primary, and reads prefer replicas in the same region; other replicas are
+ * connected on demand.
  */
 export function keepsIdleConnection(view: IdleView): boolean {
   if (view.servesAccounts || view.equalShare < 1) return false;
--- a/src/services/dispatch/common/current_primary.ts
+++ b/src/services/dispatch/common/current_primary.ts
@@ -1,45 +1,45 @@
-/** The member that leads a service, by control's word and by its own. */
+/** The primary of a service, as assigned by control. */
 export class CurrentPrimary {
-  private named = '';
-  private namedEpoch = 0;
-  private denied = false;
+  private assigned = '';
+  private assignedEpoch = 0;
+  private isDemoted = false;
 
-  /** The member that control named; '' while it names none. */
+  /** The assigned member; '' while there is none. */
   get instance(): string {
-    return this.named;
+    return this.assigned;
   }
 
-  /** The number of the decision that named it. */
+  /** The epoch of the assignment. */
   get epoch(): number {
-    return this.namedEpoch;
+    return this.assignedEpoch;
   }
 
-  /** Whether there is such a member that did not say otherwise itself. */
+  /** Whether a member is assigned that did not report it is a replica. */
   get isUsable(): boolean {
-    return this.named !== '' && !this.denied;
+    return this.assigned !== '' && !this.isDemoted;
   }
 
-  /** Takes control's word; whether it is news. Older decisions are ignored. */
+  /** Applies an assignment unless it is older; returns whether it is new. */
   update(instance: string, epoch: number): boolean {
-    if (epoch < this.namedEpoch) return false;
-    const isNews = epoch !== this.namedEpoch || instance !== this.named;
-    if (isNews) this.denied = false;
-    this.named = instance;
-    this.namedEpoch = epoch;
-    return isNews;
+    if (epoch < this.assignedEpoch) return false;
+    const isNew = epoch !== this.assignedEpoch || instance !== this.assigned;
+    if (isNew) this.isDemoted = false;
+    this.assigned = instance;
+    this.assignedEpoch = epoch;
+    return isNew;
   }
 
-  /** Takes a member's own word that it does not lead; whether that is news. */
+  /** Records that a member is not primary; returns whether that is new. */
   markDemoted(instance: string): boolean {
-    if (this.named !== instance || this.denied) return false;
-    this.denied = true;
+    if (this.assigned !== instance || this.isDemoted) return false;
+    this.isDemoted = true;
     return true;
   }
 
-  /** Takes a member's own word that it leads; whether that is news. */
+  /** Records that a member is primary; returns whether that is new. */
   markPromoted(instance: string): boolean {
-    if (this.named !== instance || !this.denied) return false;
-    this.denied = false;
+    if (this.assigned !== instance || !this.isDemoted) return false;
+    this.isDemoted = false;
     return true;
   }
 }
--- a/src/services/dispatch/common/pending_connects.ts
+++ b/src/services/dispatch/common/pending_connects.ts
@@ -1,33 +1,28 @@
-/**
- * A request waits so long for the connection that is opened for it before one to
- * another member is, in milliseconds: three ways between regions and a turn of
- * a slot.
- */
-const OPENING_WAIT_MS = 150;
+/** After this, a request may connect to another member. */
+const CONNECT_WAIT_MS = 150;
 
-interface Opening {
+interface PendingConnect {
   readonly instance: string;
-  readonly since: number;
+  readonly startedAt: number;
 }
 
 /**
- * The connections that are opened for waiting requests.
+ * The connects in progress for queued requests.
  *
- * Guard: for a request of an account that has no connection anywhere, one would
- * else be opened to each member of the service, one after the other, while the
- * first one is on its way.
+ * Guard: a request of an account without connections would open one to each
+ * member of the service in turn while the first connect is still in progress.
  */
 export class PendingConnects<R extends object> {
-  private readonly openings = new WeakMap<R, Opening>();
+  private readonly connects = new WeakMap<R, PendingConnect>();
 
   set(request: R, instance: string, now: number): void {
-    this.openings.set(request, {instance, since: now});
+    this.connects.set(request, {instance, startedAt: now});
   }
 
-  /** The member whose connection a request waits for; undefined for none. */
+  /** The member that is being connected for a request, if any. */
   instanceFor(request: R, now: number): string | undefined {
-    const opening = this.openings.get(request);
-    if (!opening || now - opening.since > OPENING_WAIT_MS) return undefined;
-    return opening.instance;
+    const connect = this.connects.get(request);
+    if (!connect || now - connect.startedAt > CONNECT_WAIT_MS) return undefined;
+    return connect.instance;
   }
 }
--- a/src/services/dispatch/common/primary_outage.ts
+++ b/src/services/dispatch/common/primary_outage.ts
@@ -1,51 +1,44 @@
-/**
- * How long a service usually has no primary, in milliseconds: silence is
- * noticed after 0.5 s, logs are compared in 0.1 to 0.3 s, and a promotion is
- * carried out in 0.3 to 1 s.
- */
-const USUAL_LOSS_MS = 1_800;
-/**
- * A member that says itself that it does not lead is being replaced, or was
- * just now: what is left is the promotion, or the news of it, in milliseconds.
- */
-const USUAL_CHANGE_MS = 600;
-/** Past that, it is taken to last for this part of its length so far. */
-const OVERDUE_PART = 0.5;
+/** Detection, the choice of a successor, and the promotion. */
+const EXPECTED_FAILOVER_MS = 1_800;
+/** The promotion alone: the member already reports that it is not primary. */
+const EXPECTED_PROMOTION_MS = 600;
+/** An overdue outage is expected to last this fraction of its length more. */
+const OVERDUE_FRACTION = 0.5;
 
 /** Whether the primary serves this instance, and if not, why. */
-export type PrimaryState = 'serving' | 'lost' | 'deposed';
+export type PrimaryState = 'serving' | 'unreachable' | 'replaced';
 
 /**
- * When a service that lost its primary will have one again, as far as anybody
- * can tell.
+ * Estimates when a service without a primary will have one again.
  *
- * A request that would be served before its deadline waits. Any other one is
- * refused at once with the time to come back: callers try two or three times
- * only, and tries within the outage would all be lost.
+ * Requests that can be served before their deadline stay queued; others are
+ * refused at once with a retry delay, since callers retry only a few times.
  */
 export class PrimaryOutage {
-  private since = 0;
-  private ended = -Infinity;
+  private startedAt = 0;
+  private lastEndedAt = -Infinity;
   private state: PrimaryState = 'serving';
 
-  /** Takes note of how the primary serves this instance. */
+  /** Records whether the primary serves this instance. */
   setState(state: PrimaryState, now: number): void {
-    if (this.state === 'serving') this.since = now;
-    else if (state === 'serving') this.ended = now;
+    if (this.state === 'serving') this.startedAt = now;
+    else if (state === 'serving') this.lastEndedAt = now;
     this.state = state;
   }
 
-  /** When the last one ended; -Infinity before any did. */
+  /** When the last outage ended; -Infinity before the first. */
   get endedAt(): number {
-    return this.ended;
+    return this.lastEndedAt;
   }
 
-  /** When it is expected to end; undefined while there is a primary. */
+  /** When the outage is expected to end; undefined without an outage. */
   expectedEndAt(now: number): number | undefined {
     if (this.state === 'serving') return undefined;
-    const isLost = this.state === 'lost';
-    const usual = this.since + (isLost ? USUAL_LOSS_MS : USUAL_CHANGE_MS);
-    if (now < usual) return usual;
-    return now + (now - this.since) * OVERDUE_PART;
+    const isUnreachable = this.state === 'unreachable';
+    const expectedAt =
+      this.startedAt +
+      (isUnreachable ? EXPECTED_FAILOVER_MS : EXPECTED_PROMOTION_MS);
+    if (now < expectedAt) return expectedAt;
+    return now + (now - this.startedAt) * OVERDUE_FRACTION;
   }
 }
--- a/src/services/dispatch/common/usable_connections.ts
+++ b/src/services/dispatch/common/usable_connections.ts
@@ -1,7 +1,7 @@
-/** Connections of a member that are left to control and to handovers. */
-const RESERVED_CONNECTIONS = 2;
+/** Left to control and to changes of the primary. */
+const RESERVED_CONNECTION_COUNT = 2;
 
-/** Connections to one member that all instances together may have. */
-export function usableConnections(memberTakes: number): number {
-  return Math.max(1, memberTakes - RESERVED_CONNECTIONS);
+/** Returns the connections to a member that all instances may share. */
+export function usableConnections(maxConnections: number): number {
+  return Math.max(1, maxConnections - RESERVED_CONNECTION_COUNT);
 }
--- a/src/services/dispatch/common/verify_primary.ts
+++ b/src/services/dispatch/common/verify_primary.ts
@@ -1,31 +1,30 @@
 import type {MemberStatus} from '../../target_link/common/member_status';
 
-/** What one member answered in a round of questions; undefined for nothing. */
+/** One member's reply to a status request; undefined if it did not reply. */
 export interface MemberStatusReply {
   readonly instance: string;
   readonly status: MemberStatus | undefined;
 }
 
 /**
- * The status of a member where the words of all members prove that nobody took
- * its place before they were asked.
+ * Returns the status of a member if the replies of all members verify that it
+ * was not replaced before the requests were sent.
  *
- * A member that was promoted leads a higher term from that moment on, and says
- * so. So a lead is proved by its holder, which leads, and by every other
- * member, each of which follows a term that is not higher. One word that is
- * missing may be that of the new leader.
+ * A promoted member is primary in a higher term. So the member must report that
+ * it is primary, and every other member that it is a replica in no higher term.
+ * A member that does not reply may be the new primary.
  */
 export function verifyPrimary(
   instance: string,
-  words: readonly MemberStatusReply[],
+  replies: readonly MemberStatusReply[],
 ): MemberStatus | undefined {
-  const lead = words.find(word => word.instance === instance)?.status;
-  if (!lead?.isPrimary) return undefined;
-  const others = words.filter(word => word.instance !== instance);
-  // A lone member has nobody to be replaced by that could bear witness.
+  const claimed = replies.find(reply => reply.instance === instance)?.status;
+  if (!claimed?.isPrimary) return undefined;
+  const others = replies.filter(reply => reply.instance !== instance);
+  // No other member can verify a single one.
   if (others.length === 0) return undefined;
-  const isProved = others.every(({status}) => {
-    return status && !status.isPrimary && status.term <= lead.term;
+  const isVerified = others.every(({status}) => {
+    return status && !status.isPrimary && status.term <= claimed.term;
   });
-  return isProved ? lead : undefined;
+  return isVerified ? claimed : undefined;
 }
--- a/src/services/dispatch/node/connection_limits.ts
+++ b/src/services/dispatch/node/connection_limits.ts
@@ -8,21 +8,21 @@
 import {usableConnections} from '../common/usable_connections';
 import type {DispatcherDependencies} from './dispatcher_messages';
 
-/** How many connections to each member of a service this instance may have. */
+/** Limits this instance's connections to each member of a service. */
 export class ConnectionLimits {
   private definition: ServiceEntry;
-  private sharers: ConnectionPeers = {
+  private peers: ConnectionPeers = {
     instanceCount: 1,
     sameRegionCount: 0,
     isPooledElsewhere: false,
   };
-  /** Work of accounts came, which cannot use a connection kept for anybody. */
+  /** Connections belong to accounts and cannot be kept for any request. */
   private hasAccounts = false;
-  private readonly since: number;
+  private readonly startedAt: number;
 
-  constructor(private readonly around: DispatcherDependencies) {
-    const {service, clock} = around;
-    this.since = clock.now();
+  constructor(private readonly dependencies: DispatcherDependencies) {
+    const {service, clock} = dependencies;
+    this.startedAt = clock.now();
     this.definition = {service, connections: 8, confirmations: 0};
   }
 
@@ -30,11 +30,11 @@
     this.definition = definition;
   }
 
-  setPeers(sharers: ConnectionPeers): void {
-    this.sharers = sharers;
+  setPeers(peers: ConnectionPeers): void {
+    this.peers = peers;
   }
 
-  /** Takes note that work of an account came. */
+  /** Records a request of an account. */
   onAccount(): void {
     this.hasAccounts = true;
   }
@@ -43,51 +43,55 @@
     return this.hasAccounts;
   }
 
-  /** Connections that this instance may have to one member. */
+  /** Connections that this instance may have to a member. */
   limitOf(member: Member): number {
     const granted = this.grantOf(member);
     if (granted !== undefined) return granted;
     return computeConnectionLimit({
-      usableCount: this.shared,
+      usableCount: this.usableCount,
       equalShare: this.equalShareOf(member),
-      ageMs: this.around.clock.now() - this.since,
+      ageMs: this.dependencies.clock.now() - this.startedAt,
     });
   }
 
-  /** What of it is not for others too: a grant, or its equal share. */
+  /** The grant or equal share, which this instance need not leave to others. */
   shareOf(member: Member): number {
     return this.grantOf(member) ?? this.equalShareOf(member);
   }
 
-  /** What control granted; undefined where it hands no connections out. */
+  /** Connections that control granted; undefined if it grants none at all. */
   grantOf(member: Member): number | undefined {
-    const {connectionQuota} = this.around;
+    const {connectionQuota} = this.dependencies;
     if (!connectionQuota.isManagedByControl) return undefined;
     const {service, instance} = member;
-    const equal = this.equalShareOf(member);
-    return connectionQuota.limitOf(service, instance, equal);
+    const equalShare = this.equalShareOf(member);
+    return connectionQuota.limitOf(service, instance, equalShare);
   }
 
-  /** Its equal share of a member; may be below 1. */
+  /** This instance's equal share of a member; may be below 1. */
   private equalShareOf(member: Member): number {
-    const {instanceCount, sameRegionCount} = this.sharers;
-    const sharers = {
+    const {instanceCount, sameRegionCount} = this.peers;
+    const peers = {
       instanceCount,
       sameRegionCount: this.hasAccounts ? sameRegionCount : 0,
     };
-    return computeEqualShare(this.shared, sharers, this.isSameRegion(member));
+    return computeEqualShare(
+      this.usableCount,
+      peers,
+      this.isSameRegion(member),
+    );
   }
 
   /**
-   * Whether one connection to a member is kept while it has no work.
+   * Whether to keep one idle connection to a member.
    *
-   * Guard: instances that are no poolers held one each since before poolers
-   * were named. The members' connections ran out while many of them rested.
+   * Guard: instances that are not poolers would each keep one from before
+   * poolers were assigned, and use up the members' connections while idle.
    */
-  keepsIdleConnection(member: Member, isPrimary: boolean): boolean {
+  keepsIdle(member: Member, isPrimary: boolean): boolean {
     if (
-      this.sharers.isPooledElsewhere &&
-      this.around.connectionQuota.isManagedByControl
+      this.peers.isPooledElsewhere &&
+      this.dependencies.connectionQuota.isManagedByControl
     ) {
       return false;
     }
@@ -99,13 +103,12 @@
     });
   }
 
-  /** Whether a member is in the region of this instance. */
   isSameRegion({site}: Member): boolean {
-    return this.around.regionOf(site) === this.around.region;
+    return this.dependencies.regionOf(site) === this.dependencies.region;
   }
 
-  /** Connections to one member that all instances together may have. */
-  private get shared(): number {
+  /** Connections to a member that all instances share. */
+  private get usableCount(): number {
     return usableConnections(this.definition.connections);
   }
 }
--- a/src/services/dispatch/node/dispatcher_messages.ts
+++ b/src/services/dispatch/node/dispatcher_messages.ts
@@ -14,54 +14,53 @@
 import type {CheckoutRequest} from '../common/checkout_request';
 import type {PooledConnection} from './member_pool';
 
-/** A connection for one transaction. */
+/** A connection that is checked out to one transaction. */
 export interface Checkout {
   readonly pooled: PooledConnection;
   readonly isPrimary: boolean;
-  /** The decision that the member leads by, where it is the primary. */
+  /** The epoch of the assignment; -1 if the member is not primary. */
   readonly epoch: number;
-  /** What the member's log must hold; undefined: proof of lead is needed. */
+  /** What the member's log must hold; undefined: verify the primary instead. */
   readonly minPosition: Position | undefined;
 }
 
-/** A connection that comes back. */
+/** A connection that is returned to its pool. */
 export interface ReleasedConnection {
   readonly pooled: PooledConnection;
-  /** Outside a transaction, with nothing of the session running. */
+  /** Whether it is outside a transaction, without running statements. */
   readonly isClean: boolean;
 }
 
-/** What the last statement on a connection told of its member. */
+/** What a reply, or its absence, showed about a member. */
 export interface MemberObservation {
   readonly instance: string;
   readonly askedAt: number;
   readonly answeredAt: number;
   readonly position: Position | undefined;
-  /** The decision that the member led by when it was asked. */
+  /** The epoch of the member's assignment when the request was sent. */
   readonly epoch: number;
   readonly kind:
     | 'answered'
-    /** Answered, and said after `askedAt` that it leads. */
+    /** It replied after `askedAt` that it is primary. */
     | 'leads'
     | 'not primary'
-    /** It had no room for the statement. */
+    /** It had no capacity for the statement. */
     | 'busy'
     | 'silent';
 }
 
-/** Proof that is wanted of the members while control gives none. */
+/** A request to verify the primary by the members, without control. */
 export interface VerificationRequest {
   readonly epoch: number;
   readonly term: number;
-  /** How long it is of use, in milliseconds. */
   readonly timeoutMs: number;
-  settle(isProved: boolean): void;
+  settle(isVerified: boolean): void;
 }
 
-/** What the dispatcher is told. */
+/** The messages to a dispatcher. */
 export type DispatcherMessage =
   | {readonly kind: 'request'; readonly request: CheckoutRequest<Checkout>}
-  /** Nobody waits for it any more. */
+  /** The caller abandoned the request. */
   | {readonly kind: 'withdraw'; readonly request: CheckoutRequest<Checkout>}
   | {readonly kind: 'return'; readonly returned: ReleasedConnection}
   | {readonly kind: 'observed'; readonly observation: MemberObservation}
@@ -73,7 +72,7 @@
   | {
       readonly kind: 'definition';
       readonly definition: ServiceEntry;
-      /** Whether its requests are admitted by class. */
+      /** Whether its requests are admitted by priority class. */
       readonly isByClass: boolean;
     }
   | {readonly kind: 'primary'; readonly lead: PrimaryAssignment}
@@ -81,7 +80,7 @@
   | {readonly kind: 'changed'}
   | {readonly kind: 'tick'};
 
-/** What a dispatcher is built on. */
+/** The dependencies of a dispatcher. */
 export interface DispatcherDependencies {
   readonly service: string;
   readonly region: string;
@@ -89,10 +88,9 @@
   readonly connector: TargetConnector;
   readonly leases: LeaseChecks;
   readonly statusReader: StatusReader;
-  /** What control hands out of the members' connections. */
   readonly connectionQuota: ConnectionQuota;
   readonly clock: Clock;
   readonly log: Log;
-  /** Trouble with the primary began (a text) or ended (''). */
+  /** Trouble with the primary began, or ended (''). */
   onDidAssessPrimary(instance: string, trouble: string): void;
 }
--- a/src/services/dispatch/node/member_demand.ts
+++ b/src/services/dispatch/node/member_demand.ts
@@ -3,88 +3,92 @@
 import type {DispatcherDependencies} from './dispatcher_messages';
 import type {MemberPool} from './member_pool';
 
-/** Waiting is logged at most so often, in milliseconds. */
-const LOG_EVERY_MS = 500;
+const LOG_INTERVAL_MS = 500;
 
-/** What this instance has and would use of each member of a service. */
+/** Reports the connections that this instance has and needs to each member. */
 export class MemberDemand {
-  private waiting = {primary: 0, read: 0};
+  private queuedCounts = {primary: 0, read: 0};
   private loggedAt = -Infinity;
 
   constructor(
-    private readonly around: DispatcherDependencies,
+    private readonly dependencies: DispatcherDependencies,
     private readonly limits: ConnectionLimits,
   ) {}
 
-  /** Takes note that all that wait are offered places now. */
+  /** Records that a pass over all queued requests begins. */
   onServing(): void {
-    this.waiting = {primary: 0, read: 0};
+    this.queuedCounts = {primary: 0, read: 0};
   }
 
-  /** Takes note that one of them found none. */
+  /** Records that a request got no connection in this pass. */
   onUnserved({kind}: CheckoutRequirement): void {
-    this.waiting[kind]++;
+    this.queuedCounts[kind]++;
   }
 
-  /** How many of them found none so far. */
+  /** Requests without a connection so far in this pass. */
   get unservedCount(): number {
-    return this.waiting.primary + this.waiting.read;
+    return this.queuedCounts.primary + this.queuedCounts.read;
   }
 
-  /** Tells what is handed out of connections what they are wanted for. */
+  /** Reports open and required connections to the connection quota. */
   report(pools: Iterable<MemberPool>, primary: string): void {
-    const {connectionQuota, service} = this.around;
+    const {connectionQuota, service} = this.dependencies;
     if (!connectionQuota.isReportRequested) return;
     const all = [...pools];
-    this.logWaiting(all, primary);
-    const readers = this.readersOf(all).length;
+    this.logQueued(all, primary);
+    const readerCount = this.findReaders(all).length;
     for (const pool of all) {
       const {instance} = pool.member;
-      const wanted = pool.usedCount + this.waitingFor(pool, primary, readers);
+      const wanted =
+        pool.usedCount + this.queuedCountOf(pool, primary, readerCount);
       connectionQuota.updateUse(service, instance, {open: pool.size, wanted});
     }
   }
 
-  /** Says what those that wait for the primary wait for. */
-  private logWaiting(pools: readonly MemberPool[], primary: string): void {
-    const {service, clock, log} = this.around;
+  /** Logs why requests for the primary are queued. */
+  private logQueued(pools: readonly MemberPool[], primary: string): void {
+    const {service, clock, log} = this.dependencies;
     const now = clock.now();
     const pool = pools.find(({member}) => member.instance === primary);
-    if (this.waiting.primary === 0 || !pool) return;
-    if (now - this.loggedAt < LOG_EVERY_MS) return;
+    if (this.queuedCounts.primary === 0 || !pool) return;
+    if (now - this.loggedAt < LOG_INTERVAL_MS) return;
     this.loggedAt = now;
-    const {primary: waiting, read: reads} = this.waiting;
+    const {primary: waiting, read: reads} = this.queuedCounts;
     const limit = this.limits.limitOf(pool.member);
     const fields = {service, instance: primary, waiting, reads, limit};
-    log.info('Work waits for a primary.', {...fields, ...pool.state});
+    log.info('Requests are queued for the primary.', {
+      ...fields,
+      ...pool.state,
+    });
   }
 
-  /** Closes what is beyond a member's grant, as far as it rests. */
+  /** Closes idle connections beyond the member's grant. */
   trim(pool: MemberPool): void {
     pool.trimTo(this.limits.grantOf(pool.member));
   }
 
-  /** A member whose slots are full serves no more by more connections. */
-  private waitingFor(
+  /** Queued requests of a member that could use more connections. */
+  private queuedCountOf(
     pool: MemberPool,
     primary: string,
-    readers: number,
+    readerCount: number,
   ): number {
     if (!pool.hasWindow || pool.isFailing) return 0;
-    const writes = pool.member.instance === primary ? this.waiting.primary : 0;
-    const isReader = this.isReader(pool) || readers === 0;
-    return writes + (isReader ? this.readsEach(readers) : 0);
+    const writeCount =
+      pool.member.instance === primary ? this.queuedCounts.primary : 0;
+    const isReader = this.isReader(pool) || readerCount === 0;
+    return writeCount + (isReader ? this.readsPerReader(readerCount) : 0);
   }
 
-  private readsEach(readers: number): number {
-    return Math.ceil(this.waiting.read / Math.max(1, readers));
+  private readsPerReader(readerCount: number): number {
+    return Math.ceil(this.queuedCounts.read / Math.max(1, readerCount));
   }
 
-  private readersOf(pools: readonly MemberPool[]): MemberPool[] {
+  private findReaders(pools: readonly MemberPool[]): MemberPool[] {
     return pools.filter(pool => this.isReader(pool));
   }
 
-  /** Reads wait for the members of the own region first. */
+  /** Reads prefer members in the same region. */
   private isReader(pool: MemberPool): boolean {
     const {member} = pool;
     return (
--- a/src/services/dispatch/node/member_pool.ts
+++ b/src/services/dispatch/node/member_pool.ts
@@ -15,112 +15,96 @@
   type TargetLink,
 } from '../../target_link/common/target_link';
 
-/** An opening that takes longer than this has failed, in milliseconds. */
-const CONNECT_MS = 1_000;
-/** An idle connection is closed after this long, to leave it to others. */
-const IDLE_CLOSE_MS = 4_000;
-/** One to a member that mostly others use is given back sooner, in ms. */
-const RARE_CLOSE_MS = 1_000;
+const CONNECT_TIMEOUT_MS = 1_000;
+const IDLE_TIMEOUT_MS = 4_000;
+/** For members that mostly other instances use. */
+const SELDOM_USED_IDLE_TIMEOUT_MS = 1_000;
+/** For connections beyond the equal share, which others may need. */
+const SURPLUS_IDLE_TIMEOUT_MS = 250;
 /**
- * One beyond the equal share is given back sooner, in milliseconds. Kept for
- * 800, nine instances held 14 of a primary's 16 connections and used 3.
+ * For members with fewer connections than instances; covers the pauses in a
+ * burst only, since an idle connection blocks another instance.
  */
-const SURPLUS_CLOSE_MS = 250;
+const SCARCE_IDLE_TIMEOUT_MS = 120;
 /**
- * Where there are fewer connections than instances, one that rests is given
- * back at once after the usual pause inside a burst, in milliseconds. Opening
- * one anew takes 12 ms of a slot, about the work of one statement; a resting
- * one keeps another instance from working at all.
+ * For connections of an account, which no other account can use. They are
+ * closed earlier if another account needs the capacity.
  */
-const SCARCE_CLOSE_MS = 120;
+const ACCOUNT_IDLE_TIMEOUT_MS = 30_000;
+const ACCOUNT_SURPLUS_IDLE_TIMEOUT_MS = 1_000;
+/** Idle connections of an account count as used; a request may follow soon. */
+const ACCOUNT_RECENT_USE_MS = 1_000;
 /**
- * One that belongs to an account serves nobody else, and is closed for another
- * account when that needs room; until then it saves its next opening, in ms.
+ * Delay of connects to a member that has no free connections. It doubles only
+ * for instances at their equal share, so that their attempts don't load a full
+ * member, while those below it still get a connection.
  */
-const ACCOUNT_CLOSE_MS = 30_000;
-/** The same for what is beyond the equal share of this instance. */
-const ACCOUNT_SURPLUS_CLOSE_MS = 1_000;
+const MIN_FULL_DELAY_MS = 100;
+const MAX_FULL_DELAY_MS = 800;
+/** Delay after another failed connect; doubles with each failure. */
+const MIN_CONNECT_DELAY_MS = 100;
+const MAX_CONNECT_DELAY_MS = 1_000;
 /**
- * One that belongs to an account counts as used so long after its work, in ms:
- * the account's next request would else need an opening.
+ * How long an observed lag counts, as a fraction of it within bounds. Trying a
+ * replica that still lags costs a slot and a round trip.
  */
-const ACCOUNT_USED_MS = 1_000;
-/**
- * After a member said that it is full, none is opened for so long, in ms. The
- * pause doubles up to the most for connections beyond the equal share: many
- * instances that ask again and again keep a full member from the work of those
- * that have its connections. One with less than its share asks on: paused as
- * long, it served 5 % less on a calm day.
- */
-const FULL_PAUSE_MS = 100;
-const MOST_FULL_PAUSE_MS = 800;
-/** First pause after an opening failed; doubles up to the most. */
-const FIRST_PAUSE_MS = 100;
-const MOST_PAUSE_MS = 1_000;
-/**
- * A lagging replica is asked again after this long, in milliseconds: each time
- * costs a turn of a slot and the request a way there and back. One that is far
- * behind takes longer to catch up.
- */
-const LAG_MEMORY_MS = 250;
-const MOST_LAG_MEMORY_MS = 1_000;
-const LAG_MEMORY_PART = 0.25;
-/** Three ways between regions and an opening, in milliseconds. */
-const SUSPICION_MS = 200;
-/** Weight of a new answer in the smoothed latency. */
+const MIN_LAG_VALID_MS = 250;
+const MAX_LAG_VALID_MS = 1_000;
+const LAG_VALID_FRACTION = 0.25;
+/** A member that does not reply is failing unless a connect succeeds soon. */
+const SUSPECT_TIMEOUT_MS = 200;
 const LATENCY_WEIGHT = 0.15;
-/** What an answer is taken to need before any was measured. */
-const FIRST_LATENCY_MS = 20;
+const INITIAL_LATENCY_MS = 20;
 
-/** A connection with what earlier sessions left on it. */
+/** A connection, with the state that earlier sessions left on it. */
 export interface PooledConnection {
   readonly link: TargetLink;
   readonly instance: string;
   readonly user: MemberUser;
-  /** Session values that are set on it. */
+  /** Session settings in effect on it. */
   readonly values: Map<string, string>;
-  /** Names of statements prepared on it, by what they do. */
+  /** Names of the statements prepared on it, by their text. */
   readonly prepared: Map<string, string>;
-  idleSince: number;
+  becameIdleAt: number;
 }
 
-/** How a pool is doing. */
+/** The state of a pool, for the log. */
 export interface PoolState {
   readonly running: number;
   readonly idle: number;
   readonly opening: number;
-  /** Transactions that the member takes at a time, as far as it showed. */
+  /** Size of the concurrency window. */
   readonly window: number;
-  /** For how long none is opened. */
+  /** For how long connects are still delayed. */
   readonly pausedMs: number;
   readonly latencyMs: number;
 }
 
-/** What a pool tells its owner. */
+/** Receives the events of a pool. */
 export interface PoolListener {
-  /** A connection became free, or an opening ended. */
+  /** A connection became idle or was closed, or a connect ended. */
   onDidChange(): void;
-  onDidOpen(instance: string, position: Position | undefined): void;
-  onDidFailToOpen(instance: string, failure: ConnectFailure): void;
+  onDidConnect(instance: string, position: Position | undefined): void;
+  onDidFailToConnect(instance: string, failure: ConnectFailure): void;
 }
 
 /** The connections of this instance to one member. */
 export class MemberPool {
   private idle: PooledConnection[] = [];
   private readonly all = new Set<PooledConnection>();
-  /** Connections that are being opened, by their users. */
-  private readonly openings = new Map<MemberUser, number>();
+  /** Counts of the connects in progress, by user. */
+  private readonly connectingCounts = new Map<MemberUser, number>();
   private readonly policy: ConnectionPolicy = new LeastRecentlyUsed();
-  private pausedUntil = 0;
-  private pauseMs = FIRST_PAUSE_MS;
-  private fullPauseMs = FULL_PAUSE_MS;
+  private connectAllowedAt = 0;
+  private connectDelayMs = MIN_CONNECT_DELAY_MS;
+  private fullDelayMs = MIN_FULL_DELAY_MS;
   private equalShare = 0;
   private isGranted = false;
-  private latency = FIRST_LATENCY_MS;
-  /** Since when nothing was answered, although something was asked. */
-  private suspectedSince: number | undefined;
-  private isConfirmed = false;
-  private isEnded = false;
+  private smoothedLatencyMs = INITIAL_LATENCY_MS;
+  /** When the member first failed to reply since its last reply. */
+  private suspectedAt: number | undefined;
+  private isUnreachable = false;
+  private isClosed = false;
   private readonly window = new ConcurrencyWindow();
   private lag = {ms: 0, at: -Infinity};
 
@@ -136,54 +120,59 @@
     return this.all.size - this.idle.length;
   }
 
-  /** Connections that work keeps, or an account that worked just now. */
+  /** Connections that transactions hold, or an account used recently. */
   get usedCount(): number {
-    const since = this.clock.now() - ACCOUNT_USED_MS;
-    const resting = this.idle.filter(({user, idleSince}) => {
-      return user !== SHARED_USER && idleSince >= since;
+    const usedAfter = this.clock.now() - ACCOUNT_RECENT_USE_MS;
+    const recentlyUsed = this.idle.filter(({user, becameIdleAt}) => {
+      return user !== SHARED_USER && becameIdleAt >= usedAfter;
     });
-    return this.runningCount + resting.length;
+    return this.runningCount + recentlyUsed.length;
   }
 
   get latencyMs(): number {
-    return this.latency;
+    return this.smoothedLatencyMs;
   }
 
-  /** What keeps it from serving more at present, for the log. */
   get state(): PoolState {
     return {
       running: this.runningCount,
       idle: this.idle.length,
-      opening: this.opening,
+      opening: this.connectingCount,
       window: this.window.size,
-      pausedMs: Math.max(0, Math.round(this.pausedUntil - this.clock.now())),
-      latencyMs: Math.round(this.latency),
+      pausedMs: Math.max(
+        0,
+        Math.round(this.connectAllowedAt - this.clock.now()),
+      ),
+      latencyMs: Math.round(this.smoothedLatencyMs),
     };
   }
 
-  private get opening(): number {
-    return [...this.openings.values()].reduce((sum, one) => sum + one, 0);
+  private get connectingCount(): number {
+    return [...this.connectingCounts.values()].reduce(
+      (sum, count) => sum + count,
+      0,
+    );
   }
 
-  /** Connections that are open or being opened. */
+  /** Open connections and connects in progress. */
   get size(): number {
-    return this.all.size + this.opening;
+    return this.all.size + this.connectingCount;
   }
 
-  /** Whether nothing about it changes by time alone, but for a standby. */
-  isQuiescent(keepsStandby: boolean): boolean {
-    if (this.suspectedSince !== undefined) return false;
-    return this.idle.length === this.size && this.size === +keepsStandby;
+  /** Whether there is nothing to check over time. */
+  isQuiescent(keepsIdle: boolean): boolean {
+    if (this.suspectedAt !== undefined) return false;
+    return this.idle.length === this.size && this.size === +keepsIdle;
   }
 
   /**
-   * Whether the member cannot be reached. One lost answer does not say so: it
-   * counts once a new connection fails too, or does not open for a while.
+   * Whether the member is unreachable. A missing reply counts once a connect
+   * fails too, or none succeeds for a while.
    */
   get isFailing(): boolean {
-    if (this.suspectedSince === undefined) return false;
-    const suspected = this.clock.now() - this.suspectedSince;
-    return this.isConfirmed || suspected >= SUSPICION_MS;
+    if (this.suspectedAt === undefined) return false;
+    const suspectedForMs = this.clock.now() - this.suspectedAt;
+    return this.isUnreachable || suspectedForMs >= SUSPECT_TIMEOUT_MS;
   }
 
   hasIdle(user: MemberUser): boolean {
@@ -191,15 +180,15 @@
   }
 
   connectingCountOf(user: MemberUser): number {
-    return this.openings.get(user) ?? 0;
+    return this.connectingCounts.get(user) ?? 0;
   }
 
-  /** Whether one more may be opened, in the place of another user's or not. */
+  /** Whether to connect once more, closing another user's if needed. */
   canConnect(limit: number, user = SHARED_USER): boolean {
-    if (this.clock.now() < this.pausedUntil) return false;
+    if (this.clock.now() < this.connectAllowedAt) return false;
     const counts = {
       open: this.all.size,
-      connecting: this.opening,
+      connecting: this.connectingCount,
       connectingForUser: this.connectingCountOf(user),
       limit,
       isGranted: this.isGranted,
@@ -208,151 +197,155 @@
     return this.policy.canConnect(counts, victim !== undefined);
   }
 
-  /** Whether the member takes one more transaction, as far as it showed. */
+  /** Whether the concurrency window allows one more transaction. */
   get hasWindow(): boolean {
     return this.window.allows(this.runningCount);
   }
 
-  /** Takes a free connection of a user, with the session's values if there is. */
-  checkout(need: ConnectionRequirement): PooledConnection | undefined {
-    return this.takeIdle(this.policy.choose(this.idle, need));
+  /** Takes an idle connection of the user, with its settings if possible. */
+  checkOut(requirement: ConnectionRequirement): PooledConnection | undefined {
+    return this.acquireIdle(this.policy.choose(this.idle, requirement));
   }
 
-  /** Takes any free connection, for questions to the member itself. */
-  checkoutAny(): PooledConnection | undefined {
-    return this.takeIdle(this.idle.at(-1));
+  /** Takes any idle connection, for requests that need no user. */
+  checkOutAny(): PooledConnection | undefined {
+    return this.acquireIdle(this.idle.at(-1));
   }
 
-  private takeIdle(
+  private acquireIdle(
     pooled: PooledConnection | undefined,
   ): PooledConnection | undefined {
     if (pooled) this.idle.splice(this.idle.indexOf(pooled), 1);
     return pooled;
   }
 
-  /** Takes a connection back; one that is not clean is closed. */
-  release(pooled: PooledConnection, clean: boolean): void {
+  /** Returns a connection to the pool; one that is not clean is closed. */
+  release(pooled: PooledConnection, isClean: boolean): void {
     if (!this.all.has(pooled)) return;
-    if (!clean || pooled.link.isClosed) {
-      this.drop(pooled);
+    if (!isClean || pooled.link.isClosed) {
+      this.close(pooled);
       return;
     }
-    pooled.idleSince = this.clock.now();
+    pooled.becameIdleAt = this.clock.now();
     this.idle.push(pooled);
   }
 
-  /** Takes note that the member had no room for a statement. */
+  /** Records that the member refused a statement for lack of capacity. */
   onBusy(): void {
     this.window.onBusy(this.runningCount);
-    this.clearSuspicion();
+    this.clearSuspected();
   }
 
-  /** Takes note of an answer and the time that it took. */
-  onAnswer(tookMs: number): void {
+  /** Records a reply and its response time. */
+  onAnswer(responseMs: number): void {
     this.window.onAnswer();
-    this.clearSuspicion();
-    this.latency += (tookMs - this.latency) * LATENCY_WEIGHT;
+    this.clearSuspected();
+    this.smoothedLatencyMs +=
+      (responseMs - this.smoothedLatencyMs) * LATENCY_WEIGHT;
   }
 
-  /** Takes note of how far behind the member was, in milliseconds. */
+  /** Records how far behind the primary the member was. */
   onLag(lagMs: number): void {
     this.lag = {ms: lagMs, at: this.clock.now()};
   }
 
-  /** How far behind it was, while that was seen lately; otherwise 0. */
+  /** The observed lag while it counts; otherwise 0. */
   get lagMs(): number {
     const {ms, at} = this.lag;
-    const memory = Math.max(LAG_MEMORY_MS, ms * LAG_MEMORY_PART);
-    const age = this.clock.now() - at;
-    return age < Math.min(memory, MOST_LAG_MEMORY_MS) ? ms : 0;
+    const validMs = Math.max(MIN_LAG_VALID_MS, ms * LAG_VALID_FRACTION);
+    const ageMs = this.clock.now() - at;
+    return ageMs < Math.min(validMs, MAX_LAG_VALID_MS) ? ms : 0;
   }
 
-  /** Takes note that the member did not answer in time. */
+  /** Records that the member did not reply in time. */
   onSilence(): void {
-    this.suspectedSince ??= this.clock.now();
-    // Guard: connections can go silent for good while new ones work; those
-    // that rested beside a silent one would each cost a request its time.
-    for (const pooled of this.idle.splice(0)) this.drop(pooled);
-    if (this.opening === 0) this.connect(SHARED_USER);
+    this.suspectedAt ??= this.clock.now();
+    // Guard: established connections can stay silent while new ones work; each
+    // idle one would time out a request. They are closed and opened anew.
+    for (const pooled of this.idle.splice(0)) this.close(pooled);
+    if (this.connectingCount === 0) this.connect(SHARED_USER);
   }
 
-  private clearSuspicion(): void {
-    this.suspectedSince = undefined;
-    this.isConfirmed = false;
+  private clearSuspected(): void {
+    this.suspectedAt = undefined;
+    this.isUnreachable = false;
   }
 
-  /** Opens a connection, in the place of another user's where it has to. */
+  /** Connects, closing another user's connection at the limit. */
   connectWithin(limit: number, user: MemberUser): void {
     const victim = this.policy.chooseVictim(this.idle, user);
-    if (this.size >= limit && victim) this.drop(victim);
+    if (this.size >= limit && victim) this.close(victim);
     this.connect(user);
   }
 
   connect(user: MemberUser): void {
-    this.countOpening(user, 1);
+    this.changeConnectingCount(user, 1);
     const {service, instance, address} = this.member;
     const target = {service, user, instance, address};
     void this.connector
-      .connect(target, CONNECT_MS, this.signal)
-      .then(outcome => {
-        this.countOpening(user, -1);
-        if (outcome.isErr) this.onFailedOpening(outcome.error, user);
-        else this.onOpened(outcome.value, user);
+      .connect(target, CONNECT_TIMEOUT_MS, this.signal)
+      .then(result => {
+        this.changeConnectingCount(user, -1);
+        if (result.isErr) this.handleConnectFailure(result.error, user);
+        else this.handleConnected(result.value, user);
         this.listener.onDidChange();
       });
   }
 
-  private countOpening(user: MemberUser, change: number): void {
-    const count = (this.openings.get(user) ?? 0) + change;
-    if (count > 0) this.openings.set(user, count);
-    else this.openings.delete(user);
+  private changeConnectingCount(user: MemberUser, change: number): void {
+    const count = (this.connectingCounts.get(user) ?? 0) + change;
+    if (count > 0) this.connectingCounts.set(user, count);
+    else this.connectingCounts.delete(user);
   }
 
   /**
-   * Closes idle connections that nobody used for a while, but for one that is
-   * kept for work to come. A share below one says that there are more
-   * instances than connections.
+   * Closes connections whose idle timeout has passed, except one to be kept.
+   *
+   * @param equalShare Below 1 if there are more instances than connections.
    */
-  closeIdle(equalShare: number, keepsStandby: boolean): void {
+  closeIdle(equalShare: number, keepsIdle: boolean): void {
     this.equalShare = equalShare;
     const now = this.clock.now();
     for (const pooled of [...this.idle]) {
-      if (this.all.size === 1 && keepsStandby) return;
-      const rested = now - pooled.idleSince;
-      if (rested > this.mostRest(pooled, keepsStandby)) this.drop(pooled);
+      if (this.all.size === 1 && keepsIdle) return;
+      const idleMs = now - pooled.becameIdleAt;
+      if (idleMs > this.idleTimeoutOf(pooled, keepsIdle)) this.close(pooled);
     }
   }
 
   /**
-   * Takes what control granted, undefined where it grants nothing, and gives
-   * back what is beyond it and rests; the longest rest first.
+   * Closes idle connections beyond the grant, the longest idle first.
+   *
+   * @param grantedCount Undefined if control grants no connections.
    */
-  trimTo(granted: number | undefined): void {
-    this.isGranted = granted !== undefined;
-    const surplus = Math.max(0, this.size - (granted ?? Infinity));
-    for (const pooled of this.idle.slice(0, surplus)) this.drop(pooled);
+  trimTo(grantedCount: number | undefined): void {
+    this.isGranted = grantedCount !== undefined;
+    const surplusCount = Math.max(0, this.size - (grantedCount ?? Infinity));
+    for (const pooled of this.idle.slice(0, surplusCount)) this.close(pooled);
   }
 
-  private mostRest({user}: PooledConnection, keepsStandby: boolean): number {
-    if (this.equalShare < 1) return SCARCE_CLOSE_MS;
+  private idleTimeoutOf({user}: PooledConnection, keepsIdle: boolean): number {
+    if (this.equalShare < 1) return SCARCE_IDLE_TIMEOUT_MS;
     const isSurplus = this.all.size > this.equalShare;
     if (user !== SHARED_USER) {
-      return isSurplus ? ACCOUNT_SURPLUS_CLOSE_MS : ACCOUNT_CLOSE_MS;
+      return isSurplus
+        ? ACCOUNT_SURPLUS_IDLE_TIMEOUT_MS
+        : ACCOUNT_IDLE_TIMEOUT_MS;
     }
-    if (isSurplus) return SURPLUS_CLOSE_MS;
-    return keepsStandby ? IDLE_CLOSE_MS : RARE_CLOSE_MS;
+    if (isSurplus) return SURPLUS_IDLE_TIMEOUT_MS;
+    return keepsIdle ? IDLE_TIMEOUT_MS : SELDOM_USED_IDLE_TIMEOUT_MS;
   }
 
-  /** Ends the pool: what is being opened for it is closed once it is there. */
+  /** Closes all connections, also those that are still being opened. */
   closeAll(): void {
-    this.isEnded = true;
-    for (const pooled of [...this.all]) this.drop(pooled);
+    this.isClosed = true;
+    for (const pooled of [...this.all]) this.close(pooled);
   }
 
-  private onOpened(link: TargetLink, user: MemberUser): void {
-    // Guard: a member that is gone, or has moved, would keep the connection,
-    // one of a few, for nobody.
-    if (this.signal.aborted || this.isEnded) return link.close();
+  private handleConnected(link: TargetLink, user: MemberUser): void {
+    // Guard: a pool whose member was removed would keep one of the member's
+    // few connections for good. A late connect is closed at once.
+    if (this.signal.aborted || this.isClosed) return link.close();
     const {instance} = this.member;
     const pooled: PooledConnection = {
       link,
@@ -360,42 +353,50 @@
       user,
       values: new Map(),
       prepared: new Map(),
-      idleSince: this.clock.now(),
+      becameIdleAt: this.clock.now(),
     };
-    this.pauseMs = FIRST_PAUSE_MS;
-    this.fullPauseMs = FULL_PAUSE_MS;
-    this.clearSuspicion();
+    this.connectDelayMs = MIN_CONNECT_DELAY_MS;
+    this.fullDelayMs = MIN_FULL_DELAY_MS;
+    this.clearSuspected();
     this.all.add(pooled);
     this.idle.push(pooled);
     link.onDidClose(() => {
-      this.drop(pooled);
+      this.close(pooled);
       this.listener.onDidChange();
     });
-    this.listener.onDidOpen(instance, link.positionAtOpen);
+    this.listener.onDidConnect(instance, link.positionAtOpen);
   }
 
-  private onFailedOpening(failure: ConnectFailure, user: MemberUser): void {
+  private handleConnectFailure(
+    failure: ConnectFailure,
+    user: MemberUser,
+  ): void {
     const now = this.clock.now();
     if (failure === 'too many connections') {
       const isBelowShare = this.size < Math.floor(this.equalShare);
-      const pauseMs = isBelowShare ? FULL_PAUSE_MS : this.fullPauseMs;
-      this.pausedUntil = now + pauseMs;
-      this.fullPauseMs = Math.min(pauseMs * 2, MOST_FULL_PAUSE_MS);
-      // The next try finds room where a resting one made place.
+      const connectDelayMs = isBelowShare
+        ? MIN_FULL_DELAY_MS
+        : this.fullDelayMs;
+      this.connectAllowedAt = now + connectDelayMs;
+      this.fullDelayMs = Math.min(connectDelayMs * 2, MAX_FULL_DELAY_MS);
+      // Frees capacity for the next attempt.
       const victim = this.policy.chooseVictim(this.idle, user);
-      if (victim) this.drop(victim);
+      if (victim) this.close(victim);
     } else {
-      this.suspectedSince ??= now;
-      this.isConfirmed = true;
-      this.pausedUntil = now + this.pauseMs;
-      this.pauseMs = Math.min(this.pauseMs * 2, MOST_PAUSE_MS);
+      this.suspectedAt ??= now;
+      this.isUnreachable = true;
+      this.connectAllowedAt = now + this.connectDelayMs;
+      this.connectDelayMs = Math.min(
+        this.connectDelayMs * 2,
+        MAX_CONNECT_DELAY_MS,
+      );
     }
-    this.listener.onDidFailToOpen(this.member.instance, failure);
+    this.listener.onDidFailToConnect(this.member.instance, failure);
   }
 
-  private drop(pooled: PooledConnection): void {
+  private close(pooled: PooledConnection): void {
     if (!this.all.delete(pooled)) return;
-    this.idle = this.idle.filter(item => item !== pooled);
+    this.idle = this.idle.filter(other => other !== pooled);
     pooled.link.close();
   }
 }
--- a/src/services/dispatch/node/member_view.ts
+++ b/src/services/dispatch/node/member_view.ts
@@ -4,23 +4,24 @@
 import type {ConnectionLimits} from './connection_limits';
 import type {MemberPool} from './member_pool';
 
-/** What a member is looked at for. */
+/** The request that a member is considered for. */
 export interface ViewOptions {
   readonly user: MemberUser;
-  /** Whether a connection may be opened for it. */
-  readonly mayOpen: boolean;
+  /** Whether a connection may be opened for the request. */
+  readonly mayConnect: boolean;
   readonly isPrimary: boolean;
 }
 
-/** A member as a choice for one request sees it. */
+/** Returns a member's state for the choice of one request's member. */
 export function makeMemberView(
   pool: MemberPool,
-  {user, mayOpen, isPrimary}: ViewOptions,
+  {user, mayConnect, isPrimary}: ViewOptions,
   limits: ConnectionLimits,
 ): MemberView {
   const {member} = pool;
   const hasIdle = pool.hasIdle(user);
-  const opens = () => mayOpen && pool.canConnect(limits.limitOf(member), user);
+  const canConnect = () =>
+    mayConnect && pool.canConnect(limits.limitOf(member), user);
   return {
     instance: member.instance,
     isPrimary,
@@ -29,7 +30,7 @@
     runningCount: pool.runningCount,
     slots: member.slots,
     latencyMs: pool.latencyMs,
-    isAvailable: pool.hasWindow && (hasIdle || opens()),
+    isAvailable: pool.hasWindow && (hasIdle || canConnect()),
     needsConnect: !hasIdle && user !== SHARED_USER,
     lagMs: pool.lagMs,
     isSameRegion: limits.isSameRegion(member),
--- a/src/services/dispatch/node/primary_probe.ts
+++ b/src/services/dispatch/node/primary_probe.ts
@@ -6,18 +6,17 @@
 } from './dispatcher_messages';
 import type {PooledConnection} from './member_pool';
 
-/** How long a probe may take, in milliseconds. */
-const PROBE_MS = 700;
+const PROBE_TIMEOUT_MS = 700;
 
-/** What a probe ends with: what it saw, and its connection. */
+/** Receives the result of a probe, and its connection. */
 export type ProbeListener = (
   observation: MemberObservation,
-  end: ReleasedConnection,
+  released: ReleasedConnection,
 ) => void;
 
 /**
- * Asks a member whether it leads and what it holds. A plain begin is refused
- * by a member that does not lead, and takes no slot.
+ * Asks a member whether it is primary, and for its position. A read-write BEGIN
+ * uses no slot, and a member that is not primary refuses it.
  */
 export class PrimaryProbe {
   private readonly running = new Set<string>();
@@ -31,34 +30,36 @@
     return this.running.has(instance);
   }
 
-  /** Asks over a connection; the epoch is that of the lead in question. */
+  /** Probes a member; the epoch is that of the current assignment. */
   start(pooled: PooledConnection, epoch: number): void {
     const {instance} = pooled;
     this.running.add(instance);
     const askedAt = this.clock.now();
-    const [begun, ended] = pooled.link.send([
+    const [beginReply, rollbackReply] = pooled.link.send([
       {requestId: undefined, statement: {kind: 'begin', readOnly: false}},
       {requestId: undefined, statement: {kind: 'rollback'}},
     ]);
-    const timer = setTimeout(() => pooled.link.close(), PROBE_MS);
-    void Promise.all([begun!, ended!]).then(([first, last]) => {
-      clearTimeout(timer);
-      this.running.delete(instance);
-      const observation = {
-        instance,
-        epoch,
-        askedAt,
-        answeredAt: this.clock.now(),
-        position: first.kind === 'answer' ? first.position : undefined,
-        kind: outcomeOf(first),
-      };
-      const clean = last.kind === 'answer' && last.state === 'idle';
-      this.onDidEnd(observation, {pooled, isClean: clean});
-    });
+    const timer = setTimeout(() => pooled.link.close(), PROBE_TIMEOUT_MS);
+    void Promise.all([beginReply!, rollbackReply!]).then(
+      ([begin, rollback]) => {
+        clearTimeout(timer);
+        this.running.delete(instance);
+        const observation = {
+          instance,
+          epoch,
+          askedAt,
+          answeredAt: this.clock.now(),
+          position: begin.kind === 'answer' ? begin.position : undefined,
+          kind: classifyReply(begin),
+        };
+        const isClean = rollback.kind === 'answer' && rollback.state === 'idle';
+        this.onDidEnd(observation, {pooled, isClean});
+      },
+    );
   }
 }
 
-function outcomeOf(reply: TargetReply): MemberObservation['kind'] {
+function classifyReply(reply: TargetReply): MemberObservation['kind'] {
   if (reply.kind !== 'answer') return 'silent';
   if (reply.result.kind === 'done') return 'leads';
   return reply.result.failure === 'not primary' ? 'not primary' : 'answered';
--- a/src/services/dispatch/node/primary_verifier.ts
+++ b/src/services/dispatch/node/primary_verifier.ts
@@ -7,25 +7,25 @@
 import {verifyPrimary, type MemberStatusReply} from '../common/verify_primary';
 import type {PooledConnection} from './member_pool';
 
-/** Somebody who waits for proof that a member was not replaced. */
+/** A pending request to verify that a member was not replaced. */
 export interface PendingVerification {
   readonly epoch: number;
-  /** The term of the member's log when it answered. */
+  /** The term of the member's log in the reply to be verified. */
   readonly term: number;
   readonly deadline: number;
-  settle(isProved: boolean): void;
+  settle(isVerified: boolean): void;
 }
 
-/** What rounds of questions need of the connections to the members. */
+/** The connections that verification rounds use. */
 export interface VerificationConnections {
   /** All members of the service. */
   instances(): readonly string[];
-  /** A free connection; one is opened for the next round where none is. */
-  take(instance: string): PooledConnection | undefined;
-  giveBack(pooled: PooledConnection, clean: boolean): void;
+  /** An idle connection; if there is none, one is opened for the next round. */
+  checkOut(instance: string): PooledConnection | undefined;
+  release(pooled: PooledConnection, isClean: boolean): void;
 }
 
-/** A member that was proved to lead, and since when that holds. */
+/** A member that was verified to be primary when the round began. */
 export interface VerifiedPrimary {
   readonly instance: string;
   readonly epoch: number;
@@ -33,142 +33,151 @@
   readonly status: MemberStatus;
 }
 
-/**
- * Rounds of questions begin this far apart, in milliseconds: each takes a slot
- * of each member for a moment, from each instance that lost control.
- */
-const ROUND_EVERY_MS = 100;
-/** The first round may find no connection to some member, and open one. */
-const FAILURES_TO_DOUBT = 2;
-/** What rounds showed is taken to go on for this, in milliseconds. */
-const DOUBT_MS = 1_000;
-/** A member that answers later bears no witness, in milliseconds. */
-const ANSWER_MS = 300;
+/** Bounds the load of status requests on the members' slots. */
+const ROUND_INTERVAL_MS = 100;
+/** The first round may fail while connections are being opened. */
+const MAX_FAILURE_COUNT = 2;
+/** How long the result of failed rounds counts. */
+const FAILURE_VALID_MS = 1_000;
+const REPLY_TIMEOUT_MS = 300;
 
 /**
- * Proves by the members of a service who leads it while control cannot be
- * reached.
- *
- * Buys: an instance that is cut off from control together with others, or waits
- * for an election, serves what it can reach. Before, its leases ran out after
- * 1.2 s and it refused all services for as long as the cut lasted.
+ * Verifies the primary of a service by the status of all its members while
+ * control cannot be reached. An instance that is partitioned from control can
+ * thus serve the members that it reaches after its leases have expired.
  */
 export class PrimaryVerifier {
-  private wishes: PendingVerification[] = [];
+  private pendingRequests: PendingVerification[] = [];
   private isRunning = false;
   private startedAt = -Infinity;
-  private provedAt = -Infinity;
-  private failures = 0;
-  private said = '';
+  private verifiedAt = -Infinity;
+  private failureCount = 0;
+  private loggedMessage = '';
 
   constructor(
     private readonly service: string,
     private readonly reader: StatusReader,
-    private readonly links: VerificationConnections,
+    private readonly connections: VerificationConnections,
     private readonly clock: Clock,
     private readonly log: Log,
-    private readonly onDidProve: (lead: VerifiedPrimary) => void,
+    private readonly onDidVerify: (primary: VerifiedPrimary) => void,
   ) {}
 
-  /** When the last round that proved a lead began; -Infinity before any. */
-  get lastProofAt(): number {
-    return this.provedAt;
+  /** When the last successful round began; -Infinity before the first. */
+  get lastVerifiedAt(): number {
+    return this.verifiedAt;
   }
 
-  /** Whether the members were asked lately, and prove nothing. */
+  /** Whether recent rounds failed. */
   get isFailing(): boolean {
-    const isRecent = this.clock.now() - this.startedAt < DOUBT_MS;
-    return isRecent && this.failures >= FAILURES_TO_DOUBT;
+    const isRecent = this.clock.now() - this.startedAt < FAILURE_VALID_MS;
+    return isRecent && this.failureCount >= MAX_FAILURE_COUNT;
   }
 
-  add(wish: PendingVerification): void {
-    this.wishes.push(wish);
+  add(request: PendingVerification): void {
+    this.pendingRequests.push(request);
   }
 
-  /** Gives up on wishes whose time is over, and asks again where some are left. */
-  tend(lead: {instance: string; epoch: number}, isWanted: boolean): void {
+  /** Times out requests, and starts a round if one is needed and due. */
+  update(
+    primary: {instance: string; epoch: number},
+    isRequired: boolean,
+  ): void {
     const now = this.clock.now();
-    const over = this.wishes.filter(({deadline, epoch}) => {
-      return deadline <= now || epoch !== lead.epoch;
+    const expired = this.pendingRequests.filter(({deadline, epoch}) => {
+      return deadline <= now || epoch !== primary.epoch;
     });
-    this.wishes = this.wishes.filter(wish => !over.includes(wish));
-    for (const wish of over) wish.settle(false);
-    if (!isWanted && this.wishes.length === 0) return;
-    if (this.isRunning || now - this.startedAt < ROUND_EVERY_MS) return;
-    this.startRound(lead, now);
+    this.pendingRequests = this.pendingRequests.filter(
+      request => !expired.includes(request),
+    );
+    for (const request of expired) request.settle(false);
+    if (!isRequired && this.pendingRequests.length === 0) return;
+    if (this.isRunning || now - this.startedAt < ROUND_INTERVAL_MS) return;
+    this.startRound(primary, now);
   }
 
-  /** No proof can be had by the members. */
-  giveUp(): void {
-    for (const wish of this.wishes.splice(0)) wish.settle(false);
+  /** Fails all pending requests. */
+  cancelAll(): void {
+    for (const request of this.pendingRequests.splice(0)) request.settle(false);
   }
 
   private startRound(
     {instance, epoch}: {instance: string; epoch: number},
     now: number,
   ): void {
-    const taken = this.links.instances().map(other => this.links.take(other));
-    const links = taken.filter(link => link !== undefined);
+    const checkedOut = this.connections
+      .instances()
+      .map(memberInstance => this.connections.checkOut(memberInstance));
+    const connections = checkedOut.filter(link => link !== undefined);
     this.startedAt = now;
-    if (links.length < taken.length) {
-      this.failures++;
-      for (const pooled of links) this.links.giveBack(pooled, true);
+    if (connections.length < checkedOut.length) {
+      this.failureCount++;
+      for (const pooled of connections) this.connections.release(pooled, true);
       return;
     }
     this.isRunning = true;
-    const waiting = [...this.wishes];
-    void Promise.all(links.map(pooled => this.ask(pooled))).then(words => {
+    const pending = [...this.pendingRequests];
+    void Promise.all(
+      connections.map(pooled => this.requestStatus(pooled)),
+    ).then(replies => {
       this.isRunning = false;
-      const status = verifyPrimary(instance, words);
-      this.note(instance, words, status !== undefined);
-      this.failures = status ? 0 : this.failures + 1;
+      const status = verifyPrimary(instance, replies);
+      this.logOutcome(instance, replies, status !== undefined);
+      this.failureCount = status ? 0 : this.failureCount + 1;
       if (!status) return;
-      this.provedAt = now;
-      this.onDidProve({instance, epoch, askedAt: now, status});
-      this.settle(waiting, status.term);
+      this.verifiedAt = now;
+      this.onDidVerify({instance, epoch, askedAt: now, status});
+      this.resolve(pending, status.term);
     });
   }
 
-  /** Only what was answered before the round began, in the same term. */
-  private settle(waiting: readonly PendingVerification[], term: number): void {
-    const proved = waiting.filter(wish => {
-      return wish.term === term && this.wishes.includes(wish);
+  /** Verifies requests from before the round and in the same term only. */
+  private resolve(
+    candidates: readonly PendingVerification[],
+    term: number,
+  ): void {
+    const verified = candidates.filter(request => {
+      return request.term === term && this.pendingRequests.includes(request);
     });
-    this.wishes = this.wishes.filter(wish => !proved.includes(wish));
-    for (const wish of proved) wish.settle(true);
+    this.pendingRequests = this.pendingRequests.filter(
+      request => !verified.includes(request),
+    );
+    for (const request of verified) request.settle(true);
   }
 
-  private async ask(pooled: PooledConnection): Promise<MemberStatusReply> {
+  private async requestStatus(
+    pooled: PooledConnection,
+  ): Promise<MemberStatusReply> {
     const {link, instance} = pooled;
-    const timer = setTimeout(() => link.close(), ANSWER_MS);
+    const timer = setTimeout(() => link.close(), REPLY_TIMEOUT_MS);
     const [promise] = link.send([
       {requestId: undefined, statement: {kind: 'status'}},
     ]);
     const reply = await promise!;
     clearTimeout(timer);
-    const isAnswer = reply.kind === 'answer';
-    this.links.giveBack(pooled, isAnswer && reply.state === 'idle');
-    const status = isAnswer ? this.reader.read(reply.result) : undefined;
+    const isReply = reply.kind === 'answer';
+    this.connections.release(pooled, isReply && reply.state === 'idle');
+    const status = isReply ? this.reader.read(reply.result) : undefined;
     return {instance, status};
   }
 
-  /** Says when proof by the members begins and ends to hold, and why. */
-  private note(
+  /** Logs when verification begins to succeed or to fail. */
+  private logOutcome(
     instance: string,
-    words: readonly MemberStatusReply[],
-    isProved: boolean,
+    replies: readonly MemberStatusReply[],
+    isVerified: boolean,
   ): void {
-    const sentence = isProved
-      ? 'The members prove a lead.'
-      : 'The members do not prove a lead.';
-    if (sentence === this.said) return;
-    this.said = sentence;
-    const answers = words.map(describe).join(' ');
-    this.log.info(sentence, {service: this.service, instance, answers});
+    const message = isVerified
+      ? 'The members verify the primary.'
+      : 'The members do not verify the primary.';
+    if (message === this.loggedMessage) return;
+    this.loggedMessage = message;
+    const answers = replies.map(describe).join(' ');
+    this.log.info(message, {service: this.service, instance, answers});
   }
 }
 
 function describe({instance, status}: MemberStatusReply): string {
   if (!status) return `${instance}:silent`;
-  return `${instance}:${status.isPrimary ? 'leads' : 'follows'}:${status.term}`;
+  return `${instance}:${status.isPrimary ? 'primary' : 'replica'}:${status.term}`;
 }
--- a/src/services/dispatch/node/service_dispatcher.ts
+++ b/src/services/dispatch/node/service_dispatcher.ts
@@ -33,89 +33,96 @@
 import {makeMemberView} from './member_view';
 import {PrimaryProbe} from './primary_probe';
 
-/** Requests, connections and outages are looked at this often, in ms. */
+/** How often requests, connections and outages are checked. */
 const TICK_MS = 50;
-const REST_TICK_MS = 250;
-/** Without a sample this new, the primary is asked for one, in ms. */
-const SAMPLE_EVERY_MS = 400;
-/** Samples and proofs are asked for only while requests come, in ms. */
-const INTEREST_MS = 2_000;
+const QUIESCENT_TICK_MS = 250;
+/** An older position sample is refreshed by a request to the primary. */
+const MAX_SAMPLE_AGE_MS = 400;
+/** Positions and verifications are requested only this long after requests. */
+const RECENT_REQUEST_MS = 2_000;
 /**
- * Members prove a lead for this long after the last lease on it, in ms: no
- * member that is unknown here can have joined and taken the lead in that time.
+ * How long after its lease expired a primary may be verified by the members.
+ * A member that this instance does not know cannot become primary that soon.
  */
-const WITNESS_MS = 8_000;
+const MAX_EXPIRED_MS = 8_000;
 /**
- * A lease that ran out is mostly renewed within this, in ms. Later, work that
- * goes to a primary without a proof by the members would only take its slots.
+ * An expired lease is mostly renewed within this. Later, a primary gets no
+ * requests unless the members verify it; its replies would not be usable.
  */
-const LAPSE_MS = 300;
-/** While there is no primary, members are asked this often, in ms. */
-const SEARCH_EVERY_MS = 150;
+const RENEWAL_GRACE_MS = 300;
+/** How often the assigned member is probed during an outage. */
+const PROBE_INTERVAL_MS = 150;
+
+type PendingRequest = CheckoutRequest<Checkout>;
 
 /** The task that owns the connections to the members of one service. */
 export class ServiceDispatcher {
   private readonly mailbox = new Mailbox<DispatcherMessage>();
   private readonly pools = new Map<string, MemberPool>();
   private readonly samples = new PositionSamples();
-  private readonly belief = new CurrentPrimary();
+  private readonly primary = new CurrentPrimary();
   private readonly outage = new PrimaryOutage();
-  private readonly waiting = new CheckoutQueue<Checkout>(this.outage);
-  private readonly openings = new PendingConnects<CheckoutRequest<Checkout>>();
-  private lastRead = -Infinity;
-  private lastRequest = -Infinity;
-  private isByClass = false;
+  private readonly queue = new CheckoutQueue<Checkout>(this.outage);
+  private readonly connects = new PendingConnects<PendingRequest>();
+  private lastReadAt = -Infinity;
+  private lastRequestAt = -Infinity;
+  private usesClasses = false;
   private readonly probe: PrimaryProbe;
-  private readonly witness: PrimaryVerifier;
-  private searchedAt = -Infinity;
-  private judged = '';
-  private changedQueued = false;
+  private readonly verifier: PrimaryVerifier;
+  private probedAt = -Infinity;
+  private lastAssessment = '';
+  private isChangePosted = false;
   private signal = new AbortController().signal;
   private wakeTick = () => {};
   private readonly limits: ConnectionLimits;
   private readonly demand: MemberDemand;
 
-  constructor(private readonly around: DispatcherDependencies) {
-    const {service} = around;
-    this.limits = new ConnectionLimits(around);
-    this.demand = new MemberDemand(around, this.limits);
-    this.probe = new PrimaryProbe(around.clock, (observation, returned) => {
-      this.mailbox.post({kind: 'observed', observation});
-      this.mailbox.post({kind: 'return', returned});
-    });
-    this.witness = new PrimaryVerifier(
+  constructor(private readonly dependencies: DispatcherDependencies) {
+    const {service} = dependencies;
+    this.limits = new ConnectionLimits(dependencies);
+    this.demand = new MemberDemand(dependencies, this.limits);
+    this.probe = new PrimaryProbe(
+      dependencies.clock,
+      (observation, returned) => {
+        this.mailbox.post({kind: 'observed', observation});
+        this.mailbox.post({kind: 'return', returned});
+      },
+    );
+    this.verifier = new PrimaryVerifier(
       service,
-      around.statusReader,
+      dependencies.statusReader,
       {
         instances: () => [...this.pools.keys()],
-        take: instance => this.takeForWitness(instance),
-        giveBack: (pooled, isClean) => {
+        checkOut: instance => this.checkOutAny(instance),
+        release: (pooled, isClean) => {
           this.mailbox.post({kind: 'return', returned: {pooled, isClean}});
         },
       },
-      around.clock,
-      around.log,
-      lead => this.onWitnessed(lead),
+      dependencies.clock,
+      dependencies.log,
+      primary => this.onVerified(primary),
     );
   }
 
   start(signal: AbortSignal): Promise<void> {
     this.signal = signal;
-    const periods = {busyMs: TICK_MS, restMs: REST_TICK_MS};
+    const periods = {busyMs: TICK_MS, restMs: QUIESCENT_TICK_MS};
     this.wakeTick = everyWhileBusy(signal, periods, () => {
       this.mailbox.post({kind: 'tick'});
-      return !this.isAtRest;
+      return !this.isQuiescent;
     });
     signal.addEventListener('abort', () => this.mailbox.close(), {once: true});
-    return startTask(`dispatcher ${this.around.service}`, () => this.run());
+    return startTask(`dispatcher ${this.dependencies.service}`, () =>
+      this.run(),
+    );
   }
 
-  /** How long new work would wait at present; nothing where none waits. */
+  /** The expected waits of new requests; empty if none are queued. */
   get expectedWaits(): CheckoutWait[] {
-    return this.waiting.expectedWaits(this.now());
+    return this.queue.expectedWaits(this.now());
   }
 
-  /** False where the mailbox is full. */
+  /** Returns false if the mailbox is full. */
   post(message: DispatcherMessage): boolean {
     return this.mailbox.post(message);
   }
@@ -125,7 +132,7 @@
       const message = yield* this.mailbox.receive();
       if (!message) break;
       this.handle(message);
-      // After it was handled: whether there is something to do shows only then.
+      // Only now is it known whether there is work for the ticks.
       if (message.kind !== 'tick') this.wakeTick();
     }
     for (const pool of this.pools.values()) pool.closeAll();
@@ -136,24 +143,24 @@
       case 'request':
         return this.onRequest(message.request);
       case 'withdraw':
-        return this.waiting.withdraw(message.request);
+        return this.queue.cancel(message.request);
       case 'return':
-        return this.onReturn(message.returned);
+        return this.onReleased(message.returned);
       case 'observed':
         return this.onObserved(message.observation);
       case 'members':
         return this.onMembers(message.members, message.sharers);
       case 'definition':
         this.limits.setDefinition(message.definition);
-        this.isByClass = message.isByClass;
-        this.waiting.setUsesClasses(message.isByClass);
+        this.usesClasses = message.isByClass;
+        this.queue.setUsesClasses(message.isByClass);
         return;
       case 'primary':
-        return this.onLead(message.lead);
+        return this.onAssignment(message.lead);
       case 'verify':
-        return this.onProofWish(message.wish);
+        return this.verify(message.wish);
       case 'changed':
-        this.changedQueued = false;
+        this.isChangePosted = false;
         return this.dispatch();
       case 'tick':
         return this.onTick();
@@ -162,130 +169,122 @@
 
   // ---- Requests ----
 
-  private onRequest(request: CheckoutRequest<Checkout>): void {
+  private onRequest(request: PendingRequest): void {
     const now = this.now();
-    this.lastRequest = now;
+    this.lastRequestAt = now;
     if (request.user !== SHARED_USER) this.limits.onAccount();
-    if (request.requirement.kind === 'read') this.lastRead = now;
-    this.waiting.add(request, now);
+    if (request.requirement.kind === 'read') this.lastReadAt = now;
+    this.queue.add(request, now);
     this.dispatch();
   }
 
   private dispatch(): void {
     const now = this.now();
-    if (this.isByClass && this.limits.servesAccounts) {
-      this.waiting.serve(now, request => this.placeOnOpened(request));
+    if (this.usesClasses && this.limits.servesAccounts) {
+      this.queue.serve(now, request => this.checkOutPending(request));
     }
     this.demand.onServing();
-    this.waiting.serve(now, request => {
-      const grant = this.place(request);
-      if (!grant) this.demand.onUnserved(request.requirement);
-      return grant;
+    this.queue.serve(now, request => {
+      const checkout = this.checkOut(request);
+      if (!checkout) this.demand.onUnserved(request.requirement);
+      return checkout;
     });
   }
 
   /**
-   * Guard: a connection serves the request that it was opened for first; the
-   * next account in the queue would close it unused, and so on in turn.
+   * Guard: a connection that was opened for one account could be closed unused
+   * in favor of the next account in the queue, again and again. It serves the
+   * request that it was opened for first.
    */
-  private placeOnOpened(
-    request: CheckoutRequest<Checkout>,
-  ): Checkout | undefined {
-    const instance = this.openings.instanceFor(request, this.now());
+  private checkOutPending(request: PendingRequest): Checkout | undefined {
+    const instance = this.connects.instanceFor(request, this.now());
     const pool = this.pools.get(instance ?? '');
-    return pool?.hasIdle(request.user) ? this.place(request) : undefined;
+    return pool?.hasIdle(request.user) ? this.checkOut(request) : undefined;
   }
 
-  private place(request: CheckoutRequest<Checkout>): Checkout | undefined {
+  private checkOut(request: PendingRequest): Checkout | undefined {
     const {requirement} = request;
-    if (requirement.kind === 'primary') return this.placeOnPrimary(request);
-    const covering = this.samples.findCovering(requirement.minReadAt);
+    if (requirement.kind === 'primary') return this.checkOutPrimary(request);
+    const sample = this.samples.findCovering(requirement.minReadAt);
     const {ownCommit} = requirement;
     const minPosition =
-      covering && ownCommit
-        ? laterPosition(covering, ownCommit.position)
-        : covering;
+      sample && ownCommit ? laterPosition(sample, ownCommit.position) : sample;
     if (!minPosition) {
       this.probePrimary();
-      if (!this.isProvable) return undefined;
+      if (!this.isVerifiable) return undefined;
     }
     const views = this.views(request);
     const {triedInstances} = request;
-    const newest = Math.max(
+    const newestAt = Math.max(
       requirement.minReadAt,
       ownCommit?.acknowledgedAt ?? -Infinity,
     );
-    const maxLagMs = this.now() - newest;
+    const maxLagMs = this.now() - newestAt;
     const chosen =
       chooseReadMember(views, {minPosition, maxLagMs, triedInstances}) ??
       chooseReadMember(views, {
         minPosition,
         maxLagMs,
-        triedInstances: NO_MEMBERS,
+        triedInstances: NO_INSTANCES,
       });
     if (!chosen) return undefined;
-    return this.take(chosen.instance, request, minPosition);
+    return this.checkOutFrom(chosen.instance, request, minPosition);
   }
 
-  private placeOnPrimary(
-    request: CheckoutRequest<Checkout>,
-  ): Checkout | undefined {
-    if (!this.belief.isUsable || !this.isProvable) return undefined;
-    return this.take(this.belief.instance, request, undefined);
+  private checkOutPrimary(request: PendingRequest): Checkout | undefined {
+    if (!this.primary.isUsable || !this.isVerifiable) return undefined;
+    return this.checkOutFrom(this.primary.instance, request, undefined);
   }
 
-  private take(
+  private checkOutFrom(
     instance: string,
-    request: CheckoutRequest<Checkout>,
-    after: Position | undefined,
+    request: PendingRequest,
+    minPosition: Position | undefined,
   ): Checkout | undefined {
     const pool = this.pools.get(instance);
     if (!pool) return undefined;
-    const pooled = pool.hasWindow && pool.checkout(request);
+    const pooled = pool.hasWindow && pool.checkOut(request);
     if (!pooled) {
-      this.openFor(request, pool);
+      this.connectFor(request, pool);
       return undefined;
     }
     const isPrimary = this.isPrimary(instance);
-    const epoch = isPrimary ? this.belief.epoch : NO_EPOCH;
-    return {pooled, isPrimary, epoch, minPosition: after};
+    const epoch = isPrimary ? this.primary.epoch : NO_EPOCH;
+    return {pooled, isPrimary, epoch, minPosition};
   }
 
-  private openFor(request: CheckoutRequest<Checkout>, pool: MemberPool): void {
+  private connectFor(request: PendingRequest, pool: MemberPool): void {
     const {user} = request;
     const limit = this.limits.limitOf(pool.member);
-    // Those that wait before it get what is being opened.
+    // Connects in progress serve the requests ahead in the queue.
     if (pool.connectingCountOf(user) > this.demand.unservedCount) return;
-    if (this.awaitsOpening(request) || !pool.canConnect(limit, user)) return;
+    if (this.awaitsConnect(request) || !pool.canConnect(limit, user)) return;
     pool.connectWithin(limit, user);
-    this.openings.set(request, pool.member.instance, this.now());
+    this.connects.set(request, pool.member.instance, this.now());
   }
 
-  private awaitsOpening(request: CheckoutRequest<Checkout>): boolean {
+  private awaitsConnect(request: PendingRequest): boolean {
     if (request.user === SHARED_USER) return false;
-    const instance = this.openings.instanceFor(request, this.now());
+    const instance = this.connects.instanceFor(request, this.now());
     if (instance === undefined) return false;
     const pool = this.pools.get(instance);
     return pool !== undefined && pool.connectingCountOf(request.user) > 0;
   }
 
-  private views(request: CheckoutRequest<Checkout>): MemberView[] {
+  private views(request: PendingRequest): MemberView[] {
     const {user} = request;
-    const mayOpen = !this.awaitsOpening(request);
+    const mayConnect = !this.awaitsConnect(request);
     return [...this.pools.values()].map(pool => {
       const isPrimary = this.isPrimary(pool.member.instance);
-      return makeMemberView(pool, {user, mayOpen, isPrimary}, this.limits);
+      return makeMemberView(pool, {user, mayConnect, isPrimary}, this.limits);
     });
   }
 
-  private keepsStandby({member}: MemberPool): boolean {
-    return this.limits.keepsIdleConnection(
-      member,
-      this.isPrimary(member.instance),
-    );
+  private keepsIdle({member}: MemberPool): boolean {
+    return this.limits.keepsIdle(member, this.isPrimary(member.instance));
   }
 
-  private onReturn({pooled, isClean}: ReleasedConnection): void {
+  private onReleased({pooled, isClean}: ReleasedConnection): void {
     const pool = this.pools.get(pooled.instance);
     if (pool) {
       pool.release(pooled, isClean);
@@ -302,158 +301,155 @@
     if (!pool) return;
     if (kind === 'silent') {
       pool.onSilence();
-      return this.judgePrimary();
+      return this.assessPrimary();
     }
     if (kind === 'busy') pool.onBusy();
     else pool.onAnswer(answeredAt - askedAt);
     if (position) pool.onLag(this.samples.minLagMs(position, askedAt));
-    if (kind === 'leads' && position) this.onLeading(observation, position);
-    if (kind === 'not primary' && this.belief.markDemoted(instance)) {
-      const {service, log} = this.around;
-      log.info('A member says that it does not lead.', {service, instance});
-      this.judgePrimary();
+    if (kind === 'leads' && position) this.onPrimary(observation, position);
+    if (kind === 'not primary' && this.primary.markDemoted(instance)) {
+      const {service, log} = this.dependencies;
+      log.info('A member reports that it is not primary.', {service, instance});
+      this.assessPrimary();
     }
     this.dispatch();
   }
 
   /**
-   * A member's own word that it leads counts only under a lease: one that was
-   * replaced goes on saying so, and what it holds is not the newest.
+   * A member's report that it is primary counts only under a lease: a replaced
+   * primary may not know yet, and lacks the newest commits.
    */
-  private onLeading(
+  private onPrimary(
     {instance, askedAt, epoch}: MemberObservation,
     position: Position,
   ): void {
-    const {leases, service} = this.around;
+    const {leases, service} = this.dependencies;
     if (!this.isPrimary(instance) || !leases.isHeld(service, epoch)) return;
     this.samples.add(askedAt, position);
-    this.restore('its own answer');
+    this.markPromoted('its own reply');
   }
 
-  // ---- Proof without control ----
+  // ---- Verification without control ----
 
-  private onProofWish({
-    epoch,
-    term,
-    timeoutMs,
-    settle,
-  }: VerificationRequest): void {
-    const until = this.now() + timeoutMs;
-    this.witness.add({epoch, term, deadline: until, settle});
-    this.tendWitness();
+  private verify({epoch, term, timeoutMs, settle}: VerificationRequest): void {
+    const deadline = this.now() + timeoutMs;
+    this.verifier.add({epoch, term, deadline, settle});
+    this.updateVerifier();
   }
 
-  /** For how long the lease on the lead in force has been over, in ms. */
-  private get lapsedMs(): number {
-    const {leases, service} = this.around;
-    return leases.expiredForMs(service, this.belief.epoch);
+  /** How long ago the lease on the current primary expired. */
+  private get expiredMs(): number {
+    const {leases, service} = this.dependencies;
+    return leases.expiredForMs(service, this.primary.epoch);
   }
 
-  /** Whether control's leases ran out, and the members may speak for them. */
-  private get needsWitness(): boolean {
-    const {lapsedMs} = this;
-    return this.belief.isUsable && lapsedMs > 0 && lapsedMs < WITNESS_MS;
+  /** Whether the lease has expired and the members may replace it. */
+  private get needsVerification(): boolean {
+    const {expiredMs} = this;
+    return this.primary.isUsable && expiredMs > 0 && expiredMs < MAX_EXPIRED_MS;
   }
 
-  private get isAsked(): boolean {
-    return this.now() - this.lastRequest < INTEREST_MS;
+  private get hasRecentRequests(): boolean {
+    return this.now() - this.lastRequestAt < RECENT_REQUEST_MS;
   }
 
-  /** Whether an answer of the primary could be proved at present. */
-  private get isProvable(): boolean {
-    const {lapsedMs} = this;
-    if (lapsedMs <= LAPSE_MS || lapsedMs === Infinity) return true;
-    return lapsedMs < WITNESS_MS && !this.witness.isFailing;
+  /** Whether a reply of the primary could be verified at present. */
+  private get isVerifiable(): boolean {
+    const {expiredMs} = this;
+    if (expiredMs <= RENEWAL_GRACE_MS || expiredMs === Infinity) return true;
+    return expiredMs < MAX_EXPIRED_MS && !this.verifier.isFailing;
   }
 
-  private tendWitness(): void {
-    if (!this.needsWitness) return this.witness.giveUp();
-    const isOld = this.now() - this.witness.lastProofAt > SAMPLE_EVERY_MS;
-    this.witness.tend(this.belief, this.isAsked && isOld);
+  private updateVerifier(): void {
+    if (!this.needsVerification) return this.verifier.cancelAll();
+    const isOld = this.now() - this.verifier.lastVerifiedAt > MAX_SAMPLE_AGE_MS;
+    this.verifier.update(this.primary, this.hasRecentRequests && isOld);
   }
 
-  private takeForWitness(instance: string): PooledConnection | undefined {
+  private checkOutAny(instance: string): PooledConnection | undefined {
     const pool = this.pools.get(instance);
-    const pooled = pool?.checkoutAny();
+    const pooled = pool?.checkOutAny();
     if (!pooled && pool?.size === 0 && pool.canConnect(1)) {
       pool.connect(SHARED_USER);
     }
     return pooled;
   }
 
-  private onWitnessed({
+  private onVerified({
     instance,
     epoch,
     askedAt,
     status,
   }: VerifiedPrimary): void {
-    if (!this.isPrimary(instance) || epoch !== this.belief.epoch) return;
+    if (!this.isPrimary(instance) || epoch !== this.primary.epoch) return;
     this.samples.add(askedAt, status.receivedPosition);
-    this.noteChange();
+    this.postChange();
   }
 
-  private restore(source: string): void {
-    if (this.belief.markPromoted(this.belief.instance)) this.noteBelief(source);
-    this.judgePrimary();
+  private markPromoted(source: string): void {
+    if (this.primary.markPromoted(this.primary.instance)) this.logUse(source);
+    this.assessPrimary();
   }
 
-  private onLead({instance, epoch}: PrimaryAssignment): void {
-    if (!this.belief.update(instance, epoch)) return;
-    this.noteBelief('control');
-    this.judgePrimary();
+  private onAssignment({instance, epoch}: PrimaryAssignment): void {
+    if (!this.primary.update(instance, epoch)) return;
+    this.logUse('control');
+    this.assessPrimary();
     this.dispatch();
   }
 
   private isPrimary(instance: string): boolean {
-    return instance === this.belief.instance;
+    return instance === this.primary.instance;
   }
 
-  private noteBelief(source: string): void {
-    const {service, log} = this.around;
-    const {instance, epoch} = this.belief;
-    log.info('Takes a primary.', {service, instance, epoch, source});
+  private logUse(source: string): void {
+    const {service, log} = this.dependencies;
+    const {instance, epoch} = this.primary;
+    log.info('Started to use a primary.', {service, instance, epoch, source});
   }
 
-  private onMembers(
-    members: readonly Member[],
-    sharers: ConnectionPeers,
-  ): void {
-    this.limits.setPeers(sharers);
-    const own = members.filter(({service}) => service === this.around.service);
+  private onMembers(members: readonly Member[], peers: ConnectionPeers): void {
+    this.limits.setPeers(peers);
+    const own = members.filter(
+      ({service}) => service === this.dependencies.service,
+    );
     for (const member of own) this.onMember(member);
     for (const [instance, pool] of this.pools) {
       if (own.some(member => member.instance === instance)) continue;
       pool.closeAll();
       this.pools.delete(instance);
-      this.around.connectionQuota.removeMember(this.around.service, instance);
-      const {service, log} = this.around;
-      log.info('Forgets a member.', {service, instance});
+      this.dependencies.connectionQuota.removeMember(
+        this.dependencies.service,
+        instance,
+      );
+      const {service, log} = this.dependencies;
+      log.info('Removed a member.', {service, instance});
     }
-    this.judgePrimary();
+    this.assessPrimary();
     this.dispatch();
   }
 
   private onMember(member: Member): void {
-    const known = this.pools.get(member.instance);
-    const {service, log, connector, clock} = this.around;
-    if (known && known.member.address === member.address) {
-      const isNews = member.role !== known.member.role;
-      known.member = member;
-      const isNamed = this.isPrimary(member.instance);
-      if (isNews && isNamed && claimsToLead(member)) {
-        this.restore('its announcement');
+    const existing = this.pools.get(member.instance);
+    const {service, log, connector, clock} = this.dependencies;
+    if (existing && existing.member.address === member.address) {
+      const hasNewRole = member.role !== existing.member.role;
+      existing.member = member;
+      const isAssigned = this.isPrimary(member.instance);
+      if (hasNewRole && isAssigned && claimsPrimary(member)) {
+        this.markPromoted('its announcement');
       }
       return;
     }
-    known?.closeAll();
+    existing?.closeAll();
     const {instance, address, draining} = member;
-    log.info('Learns of a member.', {service, instance, address, draining});
+    log.info('Added a member.', {service, instance, address, draining});
     const listener = {
-      onDidChange: () => this.noteChange(),
-      onDidOpen: () => this.judgePrimary(),
-      onDidFailToOpen: (name: string, failure: ConnectFailure) => {
-        if (failure === 'too many connections') this.onFull(name);
-        this.judgePrimary();
+      onDidChange: () => this.postChange(),
+      onDidConnect: () => this.assessPrimary(),
+      onDidFailToConnect: (name: string, failure: ConnectFailure) => {
+        if (failure === 'too many connections') this.onMemberFull(name);
+        this.assessPrimary();
       },
     };
     const pool = new MemberPool(
@@ -464,46 +460,47 @@
       this.signal,
     );
     this.pools.set(instance, pool);
-    if (this.keepsStandby(pool)) pool.connect(SHARED_USER);
+    if (this.keepsIdle(pool)) pool.connect(SHARED_USER);
   }
 
-  private onFull(instance: string): void {
+  private onMemberFull(instance: string): void {
     const open = this.pools.get(instance)?.size ?? 0;
-    this.around.connectionQuota.onDidRefuseConnection(
-      this.around.service,
+    this.dependencies.connectionQuota.onDidRefuseConnection(
+      this.dependencies.service,
       instance,
       open,
     );
   }
 
-  private noteChange(): void {
-    if (this.changedQueued) return;
-    this.changedQueued = this.mailbox.post({kind: 'changed'});
+  private postChange(): void {
+    if (this.isChangePosted) return;
+    this.isChangePosted = this.mailbox.post({kind: 'changed'});
   }
 
-  private judgePrimary(): void {
-    const {instance, isUsable: isStanding} = this.belief;
+  /** Records outages, and reports when trouble with the primary changes. */
+  private assessPrimary(): void {
+    const {instance, isUsable} = this.primary;
     const pool = this.pools.get(instance);
-    // While control replaces a primary it names nobody for a moment.
-    const isReplaced = instance === '' && this.belief.epoch > 0;
-    const isLost = pool ? pool.isFailing || !this.isProvable : !isReplaced;
-    const state = isStanding ? 'serving' : 'deposed';
-    this.outage.setState(isLost ? 'lost' : state, this.now());
+    // No member is assigned for a moment while control replaces a primary.
+    const isReplaced = instance === '' && this.primary.epoch > 0;
+    const isDown = pool ? pool.isFailing || !this.isVerifiable : !isReplaced;
+    const state = isUsable ? 'serving' : 'replaced';
+    this.outage.setState(isDown ? 'unreachable' : state, this.now());
     const trouble = pool?.isFailing ? 'unreachable' : '';
-    const judgement = `${instance} ${trouble}`;
-    if (judgement === this.judged) return;
-    this.judged = judgement;
-    this.around.onDidAssessPrimary(instance, trouble);
+    const assessment = `${instance} ${trouble}`;
+    if (assessment === this.lastAssessment) return;
+    this.lastAssessment = assessment;
+    this.dependencies.onDidAssessPrimary(instance, trouble);
   }
 
   // ---- Time ----
 
-  /** Whether nobody waits, asked lately, or holds what has to be given back. */
-  private get isAtRest(): boolean {
-    if (this.waiting.size > 0 || this.isAsked) return false;
+  /** Whether there are no requests, outages or connections to check. */
+  private get isQuiescent(): boolean {
+    if (this.queue.size > 0 || this.hasRecentRequests) return false;
     if (this.outage.expectedEndAt(this.now()) !== undefined) return false;
     return [...this.pools.values()].every(pool => {
-      return pool.isQuiescent(this.keepsStandby(pool));
+      return pool.isQuiescent(this.keepsIdle(pool));
     });
   }
 
@@ -511,60 +508,58 @@
     const now = this.now();
     for (const pool of this.pools.values()) {
       this.demand.trim(pool);
-      const isKept = this.keepsStandby(pool);
+      const isKept = this.keepsIdle(pool);
       pool.closeIdle(this.limits.shareOf(pool.member), isKept);
       if (isKept && pool.size === 0 && pool.canConnect(1)) {
         pool.connect(SHARED_USER);
       }
     }
-    this.judgePrimary();
-    this.searchPrimary(now);
-    this.waiting.expire(now);
-    this.tendWitness();
-    const wanted = now - this.lastRead < INTEREST_MS;
-    const isOld = now - this.samples.newestAskedAt > SAMPLE_EVERY_MS;
-    if (wanted && isOld) this.probePrimary();
+    this.assessPrimary();
+    this.probeAssigned(now);
+    this.queue.expire(now);
+    this.updateVerifier();
+    const hasRecentReads = now - this.lastReadAt < RECENT_REQUEST_MS;
+    const isOld = now - this.samples.newestAskedAt > MAX_SAMPLE_AGE_MS;
+    if (hasRecentReads && isOld) this.probePrimary();
     this.dispatch();
-    this.demand.report(this.pools.values(), this.belief.instance);
+    this.demand.report(this.pools.values(), this.primary.instance);
   }
 
-  /** Asks the primary for its position where no request did lately. */
   private probePrimary(): void {
-    if (!this.belief.isUsable) return;
-    const pool = this.pools.get(this.belief.instance);
+    if (!this.primary.isUsable) return;
+    const pool = this.pools.get(this.primary.instance);
     if (pool) this.probeMember(pool);
   }
 
   /**
-   * Asks the member that control named whether it leads by now. Control hears
-   * of it too, but its word takes a way more, and none comes while its own
-   * leader is lost.
+   * Probes whether the assigned member is primary by now. Control's notice
+   * takes longer, and does not arrive while control has no leader.
    */
-  private searchPrimary(now: number): void {
+  private probeAssigned(now: number): void {
     if (this.outage.expectedEndAt(now) === undefined) return;
-    if (now - this.searchedAt < SEARCH_EVERY_MS) return;
-    this.searchedAt = now;
-    const pool = this.pools.get(this.belief.instance);
-    if (pool && !this.belief.isUsable) this.probeMember(pool);
+    if (now - this.probedAt < PROBE_INTERVAL_MS) return;
+    this.probedAt = now;
+    const pool = this.pools.get(this.primary.instance);
+    if (pool && !this.primary.isUsable) this.probeMember(pool);
   }
 
   private probeMember(pool: MemberPool): void {
     if (this.probe.isRunning(pool.member.instance)) return;
-    const pooled = pool.checkoutAny();
-    if (pooled) return this.probe.start(pooled, this.belief.epoch);
+    const pooled = pool.checkOutAny();
+    if (pooled) return this.probe.start(pooled, this.primary.epoch);
     const limit = this.limits.limitOf(pool.member);
     if (pool.size === 0 && pool.canConnect(limit)) pool.connect(SHARED_USER);
   }
 
   private now(): number {
-    return this.around.clock.now();
+    return this.dependencies.clock.now();
   }
 }
 
-/** Members that do not lead do so by no decision. */
+/** The epoch of members that are not primary. */
 const NO_EPOCH = -1;
-const NO_MEMBERS: ReadonlySet<string> = new Set();
+const NO_INSTANCES: ReadonlySet<string> = new Set();
 
-function claimsToLead({role}: Member): boolean {
+function claimsPrimary({role}: Member): boolean {
   return role === ClaimedRole.CLAIMED_ROLE_PRIMARY;
 }
--- a/src/services/dispatch/test/common/checkout_queue.test.ts
+++ b/src/services/dispatch/test/common/checkout_queue.test.ts
@@ -9,147 +9,142 @@
 import {PrimaryOutage} from '../../common/primary_outage';
 import {CheckoutQueue} from '../../common/checkout_queue';
 
-/** Callers expect 800 to 1,000 ms of an operation; a quarter is for waiting. */
-const PATIENCE_MS = 250;
+const WAIT_BUDGET_MS = 250;
 const STATEMENT_MS = 800;
 const OBJECTIVE_MS = 500;
 
-/**
- * Load on one service as a stepwise calculation: so many arrivals a second,
- * and so many places a second. No sockets, no timers.
- */
-class Load {
+/** Simulates arrivals and checkouts in steps of a millisecond. */
+class LoadSimulation {
   readonly outage = new PrimaryOutage();
-  readonly waiting = new CheckoutQueue<string>(this.outage);
+  readonly queue = new CheckoutQueue<string>(this.outage);
   readonly waits: number[] = [];
-  /** Waits with what went before them. */
+  /** Waits, including those before the request was queued. */
   readonly totals: number[] = [];
   readonly refusals: {waitedMs: number; retryAfterMs: number}[] = [];
   now = 0;
-  /** Parts of an arrival and of a place, in thousandths. */
-  private arrived = 0;
-  private places = 0;
+  /** Fractions of an arrival and of a checkout, in thousandths. */
+  private arrivals = 0;
+  private capacity = 0;
 
-  run(forMs: number, arrivalsPerS: number, placesPerS: number): void {
-    for (const until = this.now + forMs; this.now < until; this.now++) {
-      this.arrived += arrivalsPerS;
-      for (; this.arrived >= 1_000; this.arrived -= 1_000) this.arrive();
-      this.places = Math.min(1_000, this.places + placesPerS);
-      this.waiting.serve(this.now, () => this.place());
-      if (this.now % 50 === 0) this.waiting.expire(this.now);
+  run(
+    durationMs: number,
+    arrivalsPerSecond: number,
+    capacityPerSecond: number,
+  ): void {
+    for (const endAt = this.now + durationMs; this.now < endAt; this.now++) {
+      this.arrivals += arrivalsPerSecond;
+      for (; this.arrivals >= 1_000; this.arrivals -= 1_000) this.add();
+      this.capacity = Math.min(1_000, this.capacity + capacityPerSecond);
+      this.queue.serve(this.now, () => this.checkOut());
+      if (this.now % 50 === 0) this.queue.expire(this.now);
     }
   }
 
-  /** Part of the answers that came when their callers expected them. */
-  get inTime(): number {
-    const inTime = this.totals.filter(ms => ms <= OBJECTIVE_MS);
-    return inTime.length / (this.totals.length + this.refusals.length);
+  /** The fraction of requests that were served when they were due. */
+  get inTimeFraction(): number {
+    const inTimeTotals = this.totals.filter(ms => ms <= OBJECTIVE_MS);
+    return inTimeTotals.length / (this.totals.length + this.refusals.length);
   }
 
-  arrive(kind: 'primary' | 'read' = 'read', waitedBeforeMs = 0): void {
-    const since = this.now;
-    const need =
+  add(kind: 'primary' | 'read' = 'read', waitedBeforeMs = 0): void {
+    const requestedAt = this.now;
+    const requirement =
       kind === 'primary'
         ? ({kind} as const)
-        : ({kind, minReadAt: since, ownCommit: undefined} as const);
+        : ({kind, minReadAt: requestedAt, ownCommit: undefined} as const);
     const request: CheckoutRequest<string> = {
-      caller: callerName(`c${since % 20}`),
+      caller: callerName(`c${requestedAt % 20}`),
       priority: 2,
-      deadline: since + STATEMENT_MS,
-      dueAt: since - waitedBeforeMs + OBJECTIVE_MS,
-      requestedAt: since,
-      waitBudgetMs: PATIENCE_MS,
-      requirement: need,
+      deadline: requestedAt + STATEMENT_MS,
+      dueAt: requestedAt - waitedBeforeMs + OBJECTIVE_MS,
+      requestedAt,
+      waitBudgetMs: WAIT_BUDGET_MS,
+      requirement,
       user: SHARED_USER,
       values: new Map(),
       triedInstances: new Set(),
-      settle: outcome => this.onSettled(since, waitedBeforeMs, outcome),
+      settle: outcome => this.onResolved(requestedAt, waitedBeforeMs, outcome),
     };
-    this.waiting.add(request, this.now);
+    this.queue.add(request, this.now);
   }
 
-  private place(): string | undefined {
-    if (this.places < 1_000) return undefined;
-    this.places -= 1_000;
-    return 'a place';
+  private checkOut(): string | undefined {
+    if (this.capacity < 1_000) return undefined;
+    this.capacity -= 1_000;
+    return 'a connection';
   }
 
-  private onSettled(
-    since: number,
+  private onResolved(
+    requestedAt: number,
     waitedBeforeMs: number,
     outcome: Result<string, CheckoutRefusal>,
   ) {
-    const waitedMs = this.now - since;
+    const waitedMs = this.now - requestedAt;
     if (outcome.isOk) this.totals.push(waitedMs + waitedBeforeMs);
     if (outcome.isOk) this.waits.push(waitedMs);
     else this.refusals.push({waitedMs, ...outcome.error});
   }
 }
 
-describe('more requests than places', () => {
-  // A board meeting opens its papers: half as many reads again as the members
-  // of a service can serve, for some seconds. Those that cannot be served in
-  // time should hear so at once, and those that wait should be served.
-  it('refuses most of what it refuses without a wait', () => {
-    const load = new Load();
+describe('more requests than capacity', () => {
+  // Requests that cannot be served in time must be refused at once, and those
+  // that are queued must be served.
+  it('refuses most excess requests at once', () => {
+    const load = new LoadSimulation();
     load.run(4_000, 150, 100);
-    const late = load.refusals.filter(({waitedMs}) => waitedMs > 50);
+    const lateRefusals = load.refusals.filter(({waitedMs}) => waitedMs > 50);
     expect(load.refusals.length).toBeGreaterThan(100);
-    expect(late.length).toBeLessThan(load.refusals.length / 4);
+    expect(lateRefusals.length).toBeLessThan(load.refusals.length / 4);
   });
 
-  it('still gives away every place', () => {
-    const load = new Load();
+  it('still uses all the capacity', () => {
+    const load = new LoadSimulation();
     load.run(4_000, 150, 100);
     expect(load.waits.length).toBeGreaterThan(380);
   });
 
-  it('refuses nothing of a crowd that fits into the wait', () => {
-    // Twenty arrive within 100 ms where ten places come free: the last one
-    // waits for about 100 ms, and nobody needs to come again.
-    const load = new Load();
+  it('refuses no request of a burst that fits into the wait budget', () => {
+    const load = new LoadSimulation();
     load.run(100, 200, 100);
     load.run(300, 0, 100);
     expect(load.refusals).toEqual([]);
     expect(load.waits).toHaveLength(20);
   });
 
-  it('names a time to come back that grows with what waits', () => {
-    const load = new Load();
+  it('returns a retry delay that grows with the queue', () => {
+    const load = new LoadSimulation();
     load.run(1_000, 300, 50);
     const {retryAfterMs} = load.refusals.at(-1)!;
     expect(retryAfterMs).toBeGreaterThan(150);
   });
 });
 
-describe('the crowd after a full stop', () => {
-  // All machines were without power. For 1.2 s callers waited to be greeted,
-  // 100 a second; now all of them ask at once, and others go on coming. Served
-  // in the order of arrival, those who have just come wait behind some hundred
-  // whose time is over, and are late as well: a third is in time then.
-  it('does not make those late who come after it', () => {
-    const load = new Load();
-    for (let waited = 1_200; waited > 0; waited -= 10) {
-      load.arrive('read', waited);
+describe('overdue requests after an outage', () => {
+  // In the order of arrival, new requests would wait behind overdue ones and
+  // become overdue as well.
+  it('do not make later requests overdue', () => {
+    const load = new LoadSimulation();
+    for (let waitedBeforeMs = 1_200; waitedBeforeMs > 0; waitedBeforeMs -= 10) {
+      load.add('read', waitedBeforeMs);
     }
-    const before = load.totals.length;
+    const servedBefore = load.totals.length;
     load.run(600, 100, 300);
-    expect(before).toBe(0);
-    const couldBeInTime = (50 + 60) / (120 + 60);
-    expect(load.inTime).toBeGreaterThan(couldBeInTime * 0.8);
+    expect(servedBefore).toBe(0);
+    const maxInTime = (50 + 60) / (120 + 60);
+    expect(load.inTimeFraction).toBeGreaterThan(maxInTime * 0.8);
   });
 });
 
 describe('a service without a primary', () => {
-  it('lets wait who will be served in time, and refuses others at once', () => {
-    // The primary is lost and will be replaced within 1.8 s. A statement with
-    // 800 ms has no chance at first; one that comes in the last 800 ms waits.
-    const load = new Load();
-    load.outage.setState('lost', 0);
-    load.arrive('primary');
+  it('queues requests that can be served in time and refuses others', () => {
+    // Only a request near the expected end of the outage is served before its
+    // deadline.
+    const load = new LoadSimulation();
+    load.outage.setState('unreachable', 0);
+    load.add('primary');
     expect(load.refusals).toHaveLength(1);
     load.now = 1_200;
-    load.arrive('primary');
+    load.add('primary');
     load.run(500, 0, 0);
     expect(load.refusals).toHaveLength(1);
     load.outage.setState('serving', load.now);
--- a/src/services/dispatch/test/common/concurrency_window.test.ts
+++ b/src/services/dispatch/test/common/concurrency_window.test.ts
@@ -1,46 +1,43 @@
 import {describe, expect, it} from 'vitest';
 import {ConcurrencyWindow} from '../../common/concurrency_window';
 
-/** Requests that a member with a queue takes at once, from all instances. */
-const MEMBER_ROOM = 19;
+/** Transactions that a member runs and queues at a time, of all instances. */
+const MEMBER_CAPACITY = 19;
 
-describe('the window of transactions at a member', () => {
-  it('keeps instances together within what the member takes', () => {
-    // The heaviest pattern: replicas lag, and nine instances send every read
-    // to the primary, each with more than it can run. Without a window most
-    // statements come back refused and are sent again, and take the time of
-    // those that could be served. 19 is 3 slots and 16 places in the queue.
+describe('ConcurrencyWindow', () => {
+  it('keeps all instances together within the capacity of a member', () => {
+    // Replicas lag, and all instances send their reads to the primary. Without
+    // a window, it would refuse most of them again and again.
     const windows = Array.from({length: 9}, () => new ConcurrencyWindow());
-    let refused = 0;
-    let served = 0;
+    let refusedCount = 0;
+    let servedCount = 0;
     for (let turn = 0; turn < 400; turn++) {
-      const running = windows.map(() => 0);
-      const total = () => running.reduce((sum, count) => sum + count, 0);
-      for (let at = 0; at < 90; at++) {
-        const each = at % windows.length;
-        if (!windows[each]!.allows(running[each]!)) continue;
-        if (total() < MEMBER_ROOM) {
-          running[each]!++;
+      const runningCounts = windows.map(() => 0);
+      const total = () => runningCounts.reduce((sum, count) => sum + count, 0);
+      for (let attempt = 0; attempt < 90; attempt++) {
+        const instance = attempt % windows.length;
+        if (!windows[instance]!.allows(runningCounts[instance]!)) continue;
+        if (total() < MEMBER_CAPACITY) {
+          runningCounts[instance]!++;
           continue;
         }
-        refused++;
-        windows[each]!.onBusy(running[each]!);
+        refusedCount++;
+        windows[instance]!.onBusy(runningCounts[instance]!);
       }
-      served += total();
-      running.forEach((count, each) => {
-        for (let answer = 0; answer < count; answer++) {
-          windows[each]!.onAnswer();
+      servedCount += total();
+      runningCounts.forEach((count, instance) => {
+        for (let reply = 0; reply < count; reply++) {
+          windows[instance]!.onAnswer();
         }
       });
     }
-    // Without it, 71 of 90 are refused in each turn.
-    expect(refused / (refused + served)).toBeLessThan(0.35);
-    expect(served / 400).toBeGreaterThan(MEMBER_ROOM * 0.6);
+    expect(refusedCount / (refusedCount + servedCount)).toBeLessThan(0.35);
+    expect(servedCount / 400).toBeGreaterThan(MEMBER_CAPACITY * 0.6);
   });
 
-  it('never closes altogether', () => {
+  it('always allows one transaction', () => {
     const window = new ConcurrencyWindow();
-    for (let time = 0; time < 50; time++) window.onBusy(0);
+    for (let count = 0; count < 50; count++) window.onBusy(0);
     expect(window.allows(0)).toBe(true);
   });
 });
--- a/src/services/dispatch/test/common/connection_policy.test.ts
+++ b/src/services/dispatch/test/common/connection_policy.test.ts
@@ -6,21 +6,19 @@
 
 const policy = new LeastRecentlyUsed();
 
-function counts(over: Partial<ConnectionCounts> = {}): ConnectionCounts {
-  const opening = over.connectingForUser ?? 0;
-  const none = {open: 0, connectingForUser: 0, limit: 8, isGranted: false};
-  return {...none, connecting: opening, ...over};
+function counts(overrides: Partial<ConnectionCounts> = {}): ConnectionCounts {
+  const connecting = overrides.connectingForUser ?? 0;
+  const defaults = {open: 0, connectingForUser: 0, limit: 8, isGranted: false};
+  return {...defaults, connecting, ...overrides};
 }
 
-it('opens one connection at a time where all instances may open', () => {
+it('opens one connection at a time if the limit is not granted', () => {
   expect(policy.canConnect(counts(), false)).toBe(true);
   expect(policy.canConnect(counts({connectingForUser: 1}), false)).toBe(false);
 });
 
-it('opens two at a time within what control handed out', () => {
-  // Load: an opening takes two ways of 40 ms, and work comes in bursts for
-  // which a pooler may open eight. One after the other they took 0.8 s, longer
-  // than callers wait.
+it('opens two connections at a time within a granted limit', () => {
+  // In a burst, serial connects would take longer than callers wait.
   const granted = {isGranted: true};
   expect(
     policy.canConnect(counts({...granted, connectingForUser: 1}), false),
--- a/src/services/dispatch/test/common/verify_primary.test.ts
+++ b/src/services/dispatch/test/common/verify_primary.test.ts
@@ -8,92 +8,103 @@
 
 const at = (term: number) => ({term, offset: 10});
 
-const leads = (instance: string, term: number): MemberStatusReply => {
+const primaryReply = (instance: string, term: number): MemberStatusReply => {
   return {
     instance,
     status: {isPrimary: true, term, receivedPosition: at(term)},
   };
 };
 
-const follows = (instance: string, term: number): MemberStatusReply => {
+const replicaReply = (instance: string, term: number): MemberStatusReply => {
   return {
     instance,
     status: {isPrimary: false, term, receivedPosition: at(term)},
   };
 };
 
-const silent = (instance: string): MemberStatusReply => {
+const noReply = (instance: string): MemberStatusReply => {
   return {instance, status: undefined};
 };
 
-describe('the words of the members', () => {
-  it('prove a lead that all others follow', () => {
-    const words = [leads('a', 2), follows('b', 2), follows('c', 1)];
-    expect(verifyPrimary('a', words)?.term).toBe(2);
+describe('verifyPrimary', () => {
+  it('verifies a primary that all others replicate', () => {
+    const replies = [
+      primaryReply('a', 2),
+      replicaReply('b', 2),
+      replicaReply('c', 1),
+    ];
+    expect(verifyPrimary('a', replies)?.term).toBe(2);
   });
 
   it.each([
-    ['another member leads', [leads('a', 1), leads('b', 2), follows('c', 1)]],
-    ['one follows a newer term', [leads('a', 1), follows('b', 2)]],
-    ['one is silent', [leads('a', 1), follows('b', 1), silent('c')]],
-    ['it does not lead itself', [follows('a', 1), follows('b', 1)]],
-    ['it is silent itself', [silent('a'), follows('b', 1)]],
-    ['it is alone', [leads('a', 1)]],
-  ])('prove nothing where %s', (...[, words]) => {
-    expect(verifyPrimary('a', words)).toBeUndefined();
+    [
+      'another member is primary',
+      [primaryReply('a', 1), primaryReply('b', 2), replicaReply('c', 1)],
+    ],
+    ['one is in a newer term', [primaryReply('a', 1), replicaReply('b', 2)]],
+    [
+      'one does not reply',
+      [primaryReply('a', 1), replicaReply('b', 1), noReply('c')],
+    ],
+    ['it is not primary itself', [replicaReply('a', 1), replicaReply('b', 1)]],
+    ['it does not reply itself', [noReply('a'), replicaReply('b', 1)]],
+    ['it is the only member', [primaryReply('a', 1)]],
+  ])('verifies nothing if %s', (...[, replies]) => {
+    expect(verifyPrimary('a', replies)).toBeUndefined();
   });
 });
 
-/** Members of which any may be promoted while others hear of it late. */
+/** Members with random promotions that the others learn of late. */
 class Members {
   readonly statuses: MemberStatus[] = [0, 1, 2].map(index => {
     return {isPrimary: index === 0, term: 1, receivedPosition: at(1)};
   });
-  newest = {holder: 0, term: 1};
+  newest = {primaryIndex: 0, term: 1};
 
   constructor(private readonly random: SeededRandom) {}
 
-  /** A promotion, or somebody hears of the last one. */
+  /** A promotion, or a member learns of the last one. */
   change(): void {
     const {random, statuses, newest} = this;
     const index = random.integer(0, 2);
     if (random.integer(0, 3) === 0) {
       const term = newest.term + 1;
-      this.newest = {holder: index, term};
+      this.newest = {primaryIndex: index, term};
       statuses[index] = {
         isPrimary: true,
         term,
         receivedPosition: at(newest.term),
       };
-    } else if (index !== newest.holder && random.integer(0, 1) === 0) {
+    } else if (index !== newest.primaryIndex && random.integer(0, 1) === 0) {
       const {term} = newest;
       statuses[index] = {isPrimary: false, term, receivedPosition: at(term)};
     }
   }
 }
 
-it('is never proved for a member that was replaced before the round', () => {
-  // A proxy is cut off from control together with the old primary, which goes
-  // on leading as far as it knows. Questions of a round reach the members one
-  // after the other, and promotions come in between.
-  let proofs = 0;
+it('never verifies a member that was replaced before the round', () => {
+  // A proxy is partitioned from control together with an old primary that does
+  // not know it was replaced. Promotions happen between the status requests.
+  let verifiedCount = 0;
   for (let seed = 1; seed <= 2_000; seed++) {
     const random = new SeededRandom(seed);
     const members = new Members(random);
     for (let step = random.integer(0, 12); step > 0; step--) members.change();
-    const before = members.newest;
-    const asked = random.integer(0, 2);
-    const words: MemberStatusReply[] = [];
+    const newestBefore = members.newest;
+    const candidate = random.integer(0, 2);
+    const replies: MemberStatusReply[] = [];
     for (const index of [0, 1, 2]) {
       for (let step = random.integer(0, 2); step > 0; step--) members.change();
-      words.push({instance: `${index}`, status: members.statuses[index]});
+      replies.push({instance: `${index}`, status: members.statuses[index]});
     }
-    const status = verifyPrimary(`${asked}`, words);
+    const status = verifyPrimary(`${candidate}`, replies);
     if (!status) continue;
-    proofs++;
-    // One that was promoted during the round proves its newer term only.
-    const led = asked === before.holder || status.term > before.term;
-    expect(led, `seed ${seed}`).toBe(true);
+    verifiedCount++;
+    // A member promoted during the round is verified for its newer term only.
+    const wasPrimary =
+      candidate === newestBefore.primaryIndex ||
+      status.term > newestBefore.term;
+    expect(wasPrimary, `seed ${seed}`).toBe(true);
   }
-  expect(proofs).toBeGreaterThan(100);
+  expect(verifiedCount).toBeGreaterThan(100);
 });
--- a/src/services/dispatch/test/common/waiting_by_class.test.ts
+++ b/src/services/dispatch/test/common/waiting_by_class.test.ts
@@ -9,277 +9,272 @@
 import {PrimaryOutage} from '../../common/primary_outage';
 import {CheckoutQueue} from '../../common/checkout_queue';
 
-/** One kind of request: what its callers expect, and how long it may wait. */
-interface Kind {
+/** The requests of one priority class. */
+interface RequestClass {
   readonly priority: number;
   readonly needsPrimary: boolean;
   readonly objectiveMs: number;
-  readonly patienceMs: number;
-  /** Arrivals a second. */
-  readonly perS: number;
+  readonly waitBudgetMs: number;
+  readonly perSecond: number;
 }
 
-const URGENT: Kind = {
+const URGENT: RequestClass = {
   priority: 0,
   needsPrimary: true,
   objectiveMs: 500,
-  patienceMs: 400,
-  perS: 60,
+  waitBudgetMs: 400,
+  perSecond: 60,
 };
-const PATIENT: Kind = {
+const PATIENT: RequestClass = {
   priority: 2,
   needsPrimary: false,
   objectiveMs: 2_500,
-  patienceMs: 1_000,
-  perS: 100,
+  waitBudgetMs: 1_000,
+  perSecond: 100,
 };
 
-/** What became of the requests of one kind. */
+/** The outcomes of the requests of one class. */
 class Outcomes {
   readonly waits: number[] = [];
   readonly refusals: (CheckoutRefusal & {waitedMs: number})[] = [];
 }
 
-/** Load of several kinds, a millisecond a step; no sockets, no timers. */
-class MixedLoad {
+/** Simulates a load of several classes in steps of a millisecond. */
+class LoadSimulation {
   readonly outage = new PrimaryOutage();
-  readonly waiting = new CheckoutQueue<string>(this.outage);
+  readonly queue = new CheckoutQueue<string>(this.outage);
   readonly outcomes = new Map<number, Outcomes>();
   now = 0;
-  isPrimaryCut = false;
-  /** Parts of an arrival and of a place, in thousandths. */
-  private readonly arrived = new Map<Kind, number>();
-  private readonly places = {primary: 0, read: 0};
+  isPrimaryPartitioned = false;
+  /** Fractions of an arrival and of a checkout, in thousandths. */
+  private readonly arrivals = new Map<RequestClass, number>();
+  private readonly capacity = {primary: 0, read: 0};
 
   constructor() {
-    this.waiting.setUsesClasses(true);
+    this.queue.setUsesClasses(true);
   }
 
   run(
-    forMs: number,
-    kinds: readonly Kind[],
-    placesPerS: {primary: number; read: number},
+    durationMs: number,
+    classes: readonly RequestClass[],
+    capacityPerSecond: {primary: number; read: number},
   ): void {
-    for (const until = this.now + forMs; this.now < until; this.now++) {
-      for (const kind of kinds) this.arriveInTurn(kind);
+    for (const endAt = this.now + durationMs; this.now < endAt; this.now++) {
+      for (const requestClass of classes) this.addArrivals(requestClass);
       for (const need of ['primary', 'read'] as const) {
-        const sum = this.places[need] + placesPerS[need];
-        this.places[need] = Math.min(1_000, sum);
+        const sum = this.capacity[need] + capacityPerSecond[need];
+        this.capacity[need] = Math.min(1_000, sum);
       }
-      this.waiting.serve(this.now, request => this.place(request));
-      if (this.now % 50 === 0) this.waiting.expire(this.now);
+      this.queue.serve(this.now, request => this.checkOut(request));
+      if (this.now % 50 === 0) this.queue.expire(this.now);
     }
   }
 
-  of({priority}: Kind): Outcomes {
-    const known = this.outcomes.get(priority) ?? new Outcomes();
-    this.outcomes.set(priority, known);
-    return known;
+  outcomesOf({priority}: RequestClass): Outcomes {
+    const existing = this.outcomes.get(priority) ?? new Outcomes();
+    this.outcomes.set(priority, existing);
+    return existing;
   }
 
-  arrive(kind: Kind): CheckoutRequest<string> {
-    const since = this.now;
-    const {priority, needsPrimary, objectiveMs, patienceMs} = kind;
+  add(requestClass: RequestClass): CheckoutRequest<string> {
+    const requestedAt = this.now;
+    const {priority, needsPrimary, objectiveMs, waitBudgetMs} = requestClass;
     const request: CheckoutRequest<string> = {
-      caller: callerName(`c${priority}-${since % 20}`),
+      caller: callerName(`c${priority}-${requestedAt % 20}`),
       priority,
-      deadline: since + Math.max(1_000, objectiveMs),
-      dueAt: since + objectiveMs,
-      requestedAt: since,
-      waitBudgetMs: patienceMs,
+      deadline: requestedAt + Math.max(1_000, objectiveMs),
+      dueAt: requestedAt + objectiveMs,
+      requestedAt,
+      waitBudgetMs,
       requirement: needsPrimary
         ? {kind: 'primary'}
-        : {kind: 'read', minReadAt: since, ownCommit: undefined},
+        : {kind: 'read', minReadAt: requestedAt, ownCommit: undefined},
       user: SHARED_USER,
       values: new Map(),
       triedInstances: new Set(),
-      settle: outcome => this.onSettled(kind, since, outcome),
+      settle: outcome => this.onResolved(requestClass, requestedAt, outcome),
     };
-    this.waiting.add(request, this.now);
+    this.queue.add(request, this.now);
     return request;
   }
 
-  private arriveInTurn(kind: Kind): void {
-    let sum = (this.arrived.get(kind) ?? 0) + kind.perS;
-    for (; sum >= 1_000; sum -= 1_000) this.arrive(kind);
-    this.arrived.set(kind, sum);
+  private addArrivals(requestClass: RequestClass): void {
+    let sum = (this.arrivals.get(requestClass) ?? 0) + requestClass.perSecond;
+    for (; sum >= 1_000; sum -= 1_000) this.add(requestClass);
+    this.arrivals.set(requestClass, sum);
   }
 
-  /** Reads may run on the primary where no replica has room. */
-  private place({requirement}: CheckoutRequest<string>): string | undefined {
-    const {places} = this;
-    if (requirement.kind === 'read' && places.read >= 1_000) {
-      places.read -= 1_000;
+  /** Reads run on the primary if no replica has capacity. */
+  private checkOut({requirement}: CheckoutRequest<string>): string | undefined {
+    const {capacity} = this;
+    if (requirement.kind === 'read' && capacity.read >= 1_000) {
+      capacity.read -= 1_000;
       return 'replica';
     }
-    if (this.isPrimaryCut || places.primary < 1_000) return undefined;
-    places.primary -= 1_000;
+    if (this.isPrimaryPartitioned || capacity.primary < 1_000) return undefined;
+    capacity.primary -= 1_000;
     return 'primary';
   }
 
-  private onSettled(
-    kind: Kind,
-    since: number,
+  private onResolved(
+    requestClass: RequestClass,
+    requestedAt: number,
     outcome: Result<string, CheckoutRefusal>,
   ): void {
-    const waitedMs = this.now - since;
-    const own = this.of(kind);
-    if (outcome.isOk) own.waits.push(waitedMs);
-    else own.refusals.push({...outcome.error, waitedMs});
+    const waitedMs = this.now - requestedAt;
+    const classOutcomes = this.outcomesOf(requestClass);
+    if (outcome.isOk) classOutcomes.waits.push(waitedMs);
+    else classOutcomes.refusals.push({...outcome.error, waitedMs});
   }
 }
 
-/** Places a second of one primary and two replicas. */
-const PLACES = {primary: 100, read: 80};
+/** Checkouts a second from the primary and from the replicas. */
+const CAPACITY = {primary: 100, read: 80};
 
-describe('a burst of patient reads beside urgent work', () => {
-  // A catalogue is browsed at twice the usual rate for 8 s, more than the
-  // members can serve; for 3 s of that the primary is cut off. Order desks go
-  // on: they are worth most, and there are places enough for all they ask.
-  const burst = {...PATIENT, perS: 200};
+describe('a burst of patient reads beside urgent requests', () => {
+  // The reads exceed the capacity, and the primary is partitioned for a while.
+  // There is capacity for all urgent requests otherwise.
+  const burst = {...PATIENT, perSecond: 200};
 
-  function play(): MixedLoad {
-    const load = new MixedLoad();
-    load.run(2_000, [URGENT, PATIENT], PLACES);
-    load.run(2_000, [URGENT, burst], PLACES);
-    load.isPrimaryCut = true;
-    load.outage.setState('lost', load.now);
-    load.run(3_000, [URGENT, burst], PLACES);
-    load.isPrimaryCut = false;
+  function simulate(): LoadSimulation {
+    const load = new LoadSimulation();
+    load.run(2_000, [URGENT, PATIENT], CAPACITY);
+    load.run(2_000, [URGENT, burst], CAPACITY);
+    load.isPrimaryPartitioned = true;
+    load.outage.setState('unreachable', load.now);
+    load.run(3_000, [URGENT, burst], CAPACITY);
+    load.isPrimaryPartitioned = false;
     load.outage.setState('serving', load.now);
-    load.run(3_000, [URGENT, burst], PLACES);
+    load.run(3_000, [URGENT, burst], CAPACITY);
     return load;
   }
 
   it('refuses no urgent request while there is a primary', () => {
-    const load = play();
-    const reasons = load.of(URGENT).refusals.map(({reason}) => reason);
+    const load = simulate();
+    const reasons = load.outcomesOf(URGENT).refusals.map(({reason}) => reason);
     expect(reasons.filter(reason => reason !== 'no primary')).toEqual([]);
   });
 
-  it('keeps the waits of the urgent far below their objective', () => {
-    // Half of 500 ms is left for the work itself and another try.
-    const load = new MixedLoad();
-    load.run(2_000, [URGENT, PATIENT], PLACES);
-    load.run(6_000, [URGENT, burst], PLACES);
-    expect(Math.max(...load.of(URGENT).waits)).toBeLessThan(250);
+  it('keeps the waits of urgent requests far below their objective', () => {
+    // Half of the objective is left for the work and for a retry.
+    const load = new LoadSimulation();
+    load.run(2_000, [URGENT, PATIENT], CAPACITY);
+    load.run(6_000, [URGENT, burst], CAPACITY);
+    expect(Math.max(...load.outcomesOf(URGENT).waits)).toBeLessThan(250);
   });
 
-  it('gives the patient their least part, and every free place', () => {
-    // 120 places a second are left beside the urgent, in the 8 s with a
-    // primary and 80 in the others.
-    const load = play();
-    const served = load.of(PATIENT).waits.length;
+  it('gives patient requests their minimum share and all free capacity', () => {
+    // What urgent requests leave with a primary, and the replicas without one.
+    const load = simulate();
+    const served = load.outcomesOf(PATIENT).waits.length;
     expect(served).toBeGreaterThan((7 * 115 + 3 * 75) * 0.95);
   });
 
-  it('refuses the patient early, before they waited for nothing', () => {
-    // A refusal within a quarter of its objective leaves time to come again.
-    const load = play();
-    const {refusals} = load.of(PATIENT);
-    const late = refusals.filter(({waitedMs}) => waitedMs > 2_500 / 4);
-    expect(late.length).toBeLessThan(refusals.length / 10);
+  it('refuses patient requests early instead of after a long wait', () => {
+    // A refusal within a quarter of the objective leaves time for a retry.
+    const load = simulate();
+    const {refusals} = load.outcomesOf(PATIENT);
+    const lateRefusals = refusals.filter(({waitedMs}) => waitedMs > 2_500 / 4);
+    expect(lateRefusals.length).toBeLessThan(refusals.length / 10);
   });
 
-  it('sends the refused back at different times', () => {
-    const load = play();
-    const {refusals} = load.of(PATIENT);
+  it('spreads the retries of refused requests', () => {
+    const load = simulate();
+    const {refusals} = load.outcomesOf(PATIENT);
     expect(refusals[0]!.detail).toMatch(
-      /^ahead=.* room=.* expected=.* word=own/,
+      /^ahead=.* maxWait=.* expected=.* source=local/,
     );
-    const first = refusals.slice(0, 20).map(one => one.retryAfterMs);
+    const first = refusals.slice(0, 20).map(refusal => refusal.retryAfterMs);
     expect(new Set(first).size).toBeGreaterThan(10);
   });
 });
 
-describe('urgent work that fills the members', () => {
-  it('leaves the patient a tenth of the places', () => {
-    // Order desks ask for twice what the members serve. Without a least part
-    // nobody could browse at all.
-    const load = new MixedLoad();
-    const crowd = {...URGENT, perS: 200, patienceMs: 900};
-    load.run(5_000, [crowd, PATIENT], {primary: 100, read: 0});
-    const patient = load.of(PATIENT).waits.length;
-    const all = patient + load.of(crowd).waits.length;
-    expect(patient / all).toBeGreaterThan(0.09);
-    expect(patient / all).toBeLessThan(0.11);
+describe('urgent requests beyond the capacity', () => {
+  it('leave patient requests a tenth of the capacity', () => {
+    // Without a minimum share, patient requests would starve.
+    const load = new LoadSimulation();
+    const excess = {...URGENT, perSecond: 200, waitBudgetMs: 900};
+    load.run(5_000, [excess, PATIENT], {primary: 100, read: 0});
+    const patientCount = load.outcomesOf(PATIENT).waits.length;
+    const total = patientCount + load.outcomesOf(excess).waits.length;
+    expect(patientCount / total).toBeGreaterThan(0.09);
+    expect(patientCount / total).toBeLessThan(0.11);
   });
 });
 
-describe('a queue that is full of the less urgent', () => {
-  it('refuses the last of them for the urgent', () => {
-    // Nothing is placed for a moment, and 300 patient reads come. An urgent
-    // one would be refused for want of room, and is worth seven of them.
-    const load = new MixedLoad();
-    for (let count = 0; count < 300; count++) load.arrive(PATIENT);
-    const refused = load.of(PATIENT).refusals.length;
-    load.arrive(URGENT);
-    expect(load.of(URGENT).refusals).toEqual([]);
-    expect(load.of(PATIENT).refusals).toHaveLength(refused + 1);
+describe('a full queue', () => {
+  it('refuses the last of the less urgent requests for an urgent one', () => {
+    // An urgent request would be refused while patient reads fill the queue.
+    const load = new LoadSimulation();
+    for (let count = 0; count < 300; count++) load.add(PATIENT);
+    const refused = load.outcomesOf(PATIENT).refusals.length;
+    load.add(URGENT);
+    expect(load.outcomesOf(URGENT).refusals).toEqual([]);
+    expect(load.outcomesOf(PATIENT).refusals).toHaveLength(refused + 1);
     load.run(20, [], {primary: 100, read: 0});
-    expect(load.of(URGENT).waits).toHaveLength(1);
+    expect(load.outcomesOf(URGENT).waits).toHaveLength(1);
   });
 
-  it('refuses the urgent where the switch is off, as before', () => {
-    const load = new MixedLoad();
-    load.waiting.setUsesClasses(false);
-    for (let count = 0; count < 300; count++) load.arrive(PATIENT);
-    load.arrive(URGENT);
-    expect(load.of(URGENT).refusals).toHaveLength(1);
+  it('refuses an urgent request if classes are off', () => {
+    const load = new LoadSimulation();
+    load.queue.setUsesClasses(false);
+    for (let count = 0; count < 300; count++) load.add(PATIENT);
+    load.add(URGENT);
+    expect(load.outcomesOf(URGENT).refusals).toHaveLength(1);
   });
 
-  it('refuses the newest where all are as urgent', () => {
-    const load = new MixedLoad();
-    for (let count = 0; count < 300; count++) load.arrive(URGENT);
-    expect(load.of(URGENT).refusals).toHaveLength(44);
+  it('refuses the newest request if all are as urgent', () => {
+    const load = new LoadSimulation();
+    for (let count = 0; count < 300; count++) load.add(URGENT);
+    expect(load.outcomesOf(URGENT).refusals).toHaveLength(44);
   });
 });
 
-describe('a request whose caller left', () => {
+describe('a cancelled request', () => {
   it('leaves the queue at once', () => {
-    const load = new MixedLoad();
-    const request = load.arrive(PATIENT);
-    load.waiting.withdraw(request);
-    load.run(50, [], PLACES);
-    expect(load.of(PATIENT).waits).toEqual([]);
-    const reasons = load.of(PATIENT).refusals.map(({reason}) => reason);
+    const load = new LoadSimulation();
+    const request = load.add(PATIENT);
+    load.queue.cancel(request);
+    load.run(50, [], CAPACITY);
+    expect(load.outcomesOf(PATIENT).waits).toEqual([]);
+    const reasons = load.outcomesOf(PATIENT).refusals.map(({reason}) => reason);
     expect(reasons).toEqual(['abandoned']);
   });
 
-  it('is settled once, also where it was placed meanwhile', () => {
-    const load = new MixedLoad();
-    const request = load.arrive(PATIENT);
-    load.run(50, [], PLACES);
-    load.waiting.withdraw(request);
-    expect(load.of(PATIENT).waits).toHaveLength(1);
-    expect(load.of(PATIENT).refusals).toEqual([]);
+  it('is resolved once, even if it was served before', () => {
+    const load = new LoadSimulation();
+    const request = load.add(PATIENT);
+    load.run(50, [], CAPACITY);
+    load.queue.cancel(request);
+    expect(load.outcomesOf(PATIENT).waits).toHaveLength(1);
+    expect(load.outcomesOf(PATIENT).refusals).toEqual([]);
   });
 });
 
-describe('the waits that a queue tells of', () => {
-  it('are those of its priorities, longer for the less urgent', () => {
-    const load = new MixedLoad();
-    load.run(3_000, [URGENT, {...PATIENT, perS: 300}], PLACES);
-    const reads = load.waiting.expectedWaits(load.now).filter(wait => {
+describe('expectedWaits', () => {
+  it('returns a wait for each queued priority', () => {
+    const load = new LoadSimulation();
+    load.run(3_000, [URGENT, {...PATIENT, perSecond: 300}], CAPACITY);
+    const reads = load.queue.expectedWaits(load.now).filter(wait => {
       return !wait.needsPrimary;
     });
     expect(reads.map(({priority}) => priority)).toEqual([2]);
-    // Others are told of it from 30 ms on; a way to a pooler takes as long.
+    // Long enough to be reported to other instances.
     expect(reads[0]!.waitMs).toBeGreaterThan(30);
   });
 
-  it('are none of what waits for a primary that is lost', () => {
-    // Work that needs a primary is held until there is one; a proxy that took
-    // that for a long queue would refuse what will be served in time.
-    const load = new MixedLoad();
-    load.run(3_000, [{...URGENT, perS: 120}], PLACES);
-    load.isPrimaryCut = true;
-    load.outage.setState('lost', load.now);
-    load.run(1_500, [URGENT], PLACES);
-    expect(load.waiting.expectedWaits(load.now)).toEqual([]);
+  it('excludes requests for an unreachable primary', () => {
+    // They wait for a new primary. A proxy that took them for a long queue
+    // would refuse requests that can be served in time.
+    const load = new LoadSimulation();
+    load.run(3_000, [{...URGENT, perSecond: 120}], CAPACITY);
+    load.isPrimaryPartitioned = true;
+    load.outage.setState('unreachable', load.now);
+    load.run(1_500, [URGENT], CAPACITY);
+    expect(load.queue.expectedWaits(load.now)).toEqual([]);
   });
 
-  it('are none where nobody waits', () => {
-    expect(new MixedLoad().waiting.expectedWaits(0)).toEqual([]);
+  it('is empty while no requests are queued', () => {
+    expect(new LoadSimulation().queue.expectedWaits(0)).toEqual([]);
   });
 });
--- a/src/services/dispatch/test/node/granted_connections.test.ts
+++ b/src/services/dispatch/test/node/granted_connections.test.ts
@@ -26,58 +26,55 @@
 
 afterEach(() => gateway.stop.abort());
 
-let number = 0;
+let grantsNumber = 0;
 
 function grant(connections: number): void {
   const grants = [{service: 'books', instance: 'a', connections}];
-  room.setGrants({grants, number: ++number});
+  room.setGrants({grants, number: ++grantsNumber});
 }
 
-const rest = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
+const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
-it('are no more than control granted, and given back when that falls', async () => {
-  // Members reset what is beyond their cap, and the statements on it are run
-  // again elsewhere. An instance keeps what it opened in a burst, rested or
-  // not, while control gives the same connections to another one.
+it('keeps connections within a grant, also after it shrinks', async () => {
+  // Control grants the same connections to another instance; members reset
+  // connections beyond their limit, and the statements on them fail.
   grant(4);
   const callers = [...Array(8).keys()].map(() => new TestCaller(gateway, 'db'));
   const begin = async (caller: TestCaller) => {
     await caller.send(BEGIN);
     return caller.send(WRITE);
   };
-  const begun = callers.map(begin);
-  await rest(200);
+  const started = callers.map(begin);
+  await sleep(200);
   expect(group.member('a').connectionCount).toBe(4);
   grant(1);
-  await rest(120);
-  // Work under way goes on; what rests after it is closed.
+  await sleep(120);
+  // Running transactions continue; idle connections are closed.
   expect(group.member('a').connectionCount).toBe(4);
   for (const caller of callers) void caller.send(COMMIT);
-  await Promise.all(begun);
-  // At once, and not after the rest that surplus ones have otherwise.
-  await rest(100);
+  await Promise.all(started);
+  // At once, without the idle timeout of surplus connections.
+  await sleep(100);
   expect(group.member('a').connectionCount).toBe(1);
 });
 
-it('are not kept by instances that are no poolers', async () => {
-  // Proxies open one to each primary before control names the poolers. 18 of
-  // 24 kept theirs for nothing; of 47 that the member takes, the poolers had
-  // 29 to serve a burst with.
-  await rest(150);
+it('keeps no idle connections on instances that are not poolers', async () => {
+  // Connections from before control assigned the poolers would stay open and
+  // be missing to the poolers in a burst.
+  await sleep(150);
   const pooler = {service: 'books', instance: 'p2', site: 's', address: 'p2:1'};
   gateway.gateway.setPoolers({poolers: [pooler]});
-  await rest(1_300);
+  await sleep(1_300);
   expect(group.member('a').connectionCount).toBe(1);
-  room.setGrants({grants: [], number: ++number});
-  await rest(1_300);
+  room.setGrants({grants: [], number: ++grantsNumber});
+  await sleep(1_300);
   expect(group.member('a').connectionCount).toBe(0);
 });
 
-it('are wanted for each account that worked just now', async () => {
-  // Twelve accounts take turns, and each connection serves one of them only.
-  // Counted by what runs at a time, the instance was granted two, and each
-  // request waited for an opening.
-  const names = [...Array(12).keys()].map(at => `account-${at}`);
+it('requests a connection for each recently active account', async () => {
+  // Each connection serves one account only. With a demand of the running
+  // transactions alone, each request would have to wait for a connect.
+  const names = [...Array(12).keys()].map(index => `account-${index}`);
   const accounts = names.map(account => {
     return {account, keyDigests: [digestOfKey(account)], limit: undefined};
   });
@@ -88,18 +85,18 @@
   for (const name of names) {
     await new TestCaller(gateway, 'keyed', name).send(WRITE);
   }
-  await rest(100);
+  await sleep(100);
   const use = room.views.find(({instance}) => instance === 'a');
   expect(use!.wanted).toBeGreaterThanOrEqual(12);
 });
 
-it('are told to control with what waits for one', async () => {
+it('reports queued requests as demand to control', async () => {
   grant(2);
   const callers = [...Array(5).keys()].map(() => new TestCaller(gateway, 'db'));
   for (const caller of callers) {
     void caller.send(BEGIN).then(() => caller.send(WRITE));
   }
-  await rest(150);
+  await sleep(150);
   const use = room.views.find(({instance}) => instance === 'a');
   expect(use).toMatchObject({open: 2, wanted: 5, granted: 2});
 });
--- a/src/services/dispatch/test/node/member_pool.test.ts
+++ b/src/services/dispatch/test/node/member_pool.test.ts
@@ -5,15 +5,14 @@
 import {SHARED_USER} from '../../../target_link/common/target_link';
 import {MemberPool} from '../../node/member_pool';
 
-it('closes what was being opened when it ended', async () => {
-  // A member is forgotten, or moves, while a connection to it is on its way.
-  // The pool that nobody looks at any more kept it: one of a few for good.
+it('closes a connection whose connect succeeds after closeAll', async () => {
+  // The pool of a removed member would keep one of its few connections.
   const group = new FakeGroup(['a']);
   group.member('a').openDelayMs = 20;
   const listener = {
     onDidChange: () => {},
-    onDidOpen: () => {},
-    onDidFailToOpen: () => {},
+    onDidConnect: () => {},
+    onDidFailToConnect: () => {},
   };
   const pool = new MemberPool(
     membersOf(group)[0]!,
--- a/src/services/dispatch/test/node/service_dispatcher.test.ts
+++ b/src/services/dispatch/test/node/service_dispatcher.test.ts
@@ -16,10 +16,10 @@
 let clock: ManualClock;
 let stop: AbortController;
 let dispatcher: ServiceDispatcher;
-let looks: ReturnType<typeof vi.spyOn>;
+let checks: ReturnType<typeof vi.spyOn>;
 
-/** Lets time pass, and the task handle what it is told. */
-async function pass(milliseconds: number): Promise<void> {
+/** Advances the clock, and lets the task handle its messages. */
+async function passTime(milliseconds: number): Promise<void> {
   for (const until = clock.now() + milliseconds; clock.now() < until;) {
     clock.advance(10);
     vi.advanceTimersByTime(10);
@@ -45,25 +45,25 @@
     onDidAssessPrimary: () => {},
   });
   void dispatcher.start(stop.signal);
-  // So many instances before 16 connections that none is kept for later.
-  const sharers = {
+  // Enough instances that none of them keeps an idle connection.
+  const peers = {
     instanceCount: 60,
     sameRegionCount: 0,
     isPooledElsewhere: false,
   };
-  dispatcher.post({kind: 'members', members: membersOf(group), sharers});
+  dispatcher.post({kind: 'members', members: membersOf(group), sharers: peers});
   dispatcher.post({kind: 'primary', lead: makeAssignment('a', 1)});
-  looks = vi.spyOn(MemberPool.prototype, 'closeIdle');
+  checks = vi.spyOn(MemberPool.prototype, 'closeIdle');
 });
 
 afterEach(() => {
   stop.abort();
-  looks.mockRestore();
+  checks.mockRestore();
   vi.useRealTimers();
 });
 
-/** How often the dispatcher looked at its three members. */
-const lookCount = () => looks.mock.calls.length / 3;
+/** How often the dispatcher checked its three members. */
+const checkCount = () => checks.mock.calls.length / 3;
 
 function requestPrimary(): void {
   const now = clock.now();
@@ -83,21 +83,20 @@
   dispatcher.post({kind: 'request', request});
 }
 
-describe('a service that nobody asks for', () => {
-  it('is looked at four times a second', async () => {
-    // A proxy before six services works for one of them. Looked at 20 times a
-    // second each, the other five take most of what it uses.
-    await pass(3 * SECOND_MS);
-    looks.mockClear();
-    await pass(10 * SECOND_MS);
-    expect(lookCount()).toBeLessThanOrEqual(41);
+describe('a service without requests', () => {
+  it('is checked four times a second', async () => {
+    // Frequent checks of quiescent services would take most of a proxy's CPU.
+    await passTime(3 * SECOND_MS);
+    checks.mockClear();
+    await passTime(10 * SECOND_MS);
+    expect(checkCount()).toBeLessThanOrEqual(41);
   });
 
-  it('is looked at 20 times a second once somebody asks', async () => {
-    await pass(10 * SECOND_MS);
+  it('is checked 20 times a second after a request', async () => {
+    await passTime(10 * SECOND_MS);
     requestPrimary();
-    looks.mockClear();
-    await pass(SECOND_MS);
-    expect(lookCount()).toBeGreaterThanOrEqual(18);
+    checks.mockClear();
+    await passTime(SECOND_MS);
+    expect(checkCount()).toBeGreaterThanOrEqual(18);
   });
 });
