--- a/src/services/routing/common/offset_history.ts
+++ b/src/services/routing/common/offset_history.ts
@@ -1,25 +1,25 @@
-/** What the primary was known to hold at or after a time. */
+/** The offset that the primary had when or after it was asked. */
 interface Sample {
-  /** On the data clock, in milliseconds. */
+  /** On the data clock, which stops while no write can be acknowledged. */
   askedAt: number;
   offset: number;
 }
 
-const MOST_SAMPLES = 4_096;
+const MAX_SAMPLE_COUNT = 4_096;
 
 /**
- * How old a replica's data are at most, without comparing clocks of machines:
- * whoever holds what the primary held when it was asked is as new as that.
+ * Bounds the age of a replica's data without comparing clocks of machines: a
+ * replica with the offset that the primary returned is as new as that request.
  */
 export class OffsetHistory {
   private samples: Sample[] = [];
   private frozenMs = 0;
-  private frozenSince: number | undefined;
+  private frozenAt: number | undefined;
   private frozenUntil = -Infinity;
 
-  /** Notes that the primary held an offset when it was asked. */
+  /** Records the offset that the primary had when it was asked. */
   onSample(askedAt: number, offset: number): void {
-    const time = this.dataTime(askedAt);
+    const time = this.toDataTime(askedAt);
     const last = this.samples.at(-1);
     if (last && last.askedAt >= time) return;
     if (last && last.offset >= offset) {
@@ -27,10 +27,10 @@
       return;
     }
     this.samples.push({askedAt: time, offset});
-    if (this.samples.length > MOST_SAMPLES) this.samples.shift();
+    if (this.samples.length > MAX_SAMPLE_COUNT) this.samples.shift();
   }
 
-  /** A new term began: what lay past this offset was never acknowledged. */
+  /** Records a new term; no write past its base offset was acknowledged. */
   onTermStart(baseOffset: number): void {
     for (const sample of this.samples) {
       sample.offset = Math.min(sample.offset, baseOffset);
@@ -38,31 +38,30 @@
   }
 
   /**
-   * Control answered that nobody can acknowledge a write, in one unbroken
-   * time between terms. Figures do not age meanwhile: there is nothing newer.
-   * From when the first such answer came until the last one was asked for,
-   * that was surely so.
+   * Records control's reply that no write can be acknowledged between terms.
+   * Data do not age meanwhile. This is certain from the receipt of the first
+   * such reply until the last one was requested.
    */
   onWritesBlocked(askedAt: number, answeredAt: number): void {
-    this.frozenSince ??= answeredAt;
+    this.frozenAt ??= answeredAt;
     this.frozenUntil = Math.max(this.frozenUntil, askedAt);
   }
 
-  /** Writes may be acknowledged again, or may have been in between. */
+  /** Records that writes may be, or may have been, acknowledged again. */
   onWritesResumed(): void {
-    if (this.frozenSince === undefined) return;
-    this.frozenMs += Math.max(0, this.frozenUntil - this.frozenSince);
-    this.frozenSince = undefined;
+    if (this.frozenAt === undefined) return;
+    this.frozenMs += Math.max(0, this.frozenUntil - this.frozenAt);
+    this.frozenAt = undefined;
     this.frozenUntil = -Infinity;
   }
 
-  /** The age of what a member at an offset holds; Infinity when unknown. */
+  /** The age of the data of a member at an offset; Infinity if unknown. */
   ageOf(offset: number, now: number): number {
-    const sample = this.newestUpTo(offset);
-    return sample ? this.dataTime(now) - sample.askedAt : Infinity;
+    const sample = this.findNewestUpTo(offset);
+    return sample ? this.toDataTime(now) - sample.askedAt : Infinity;
   }
 
-  private newestUpTo(offset: number): Sample | undefined {
+  private findNewestUpTo(offset: number): Sample | undefined {
     let low = 0;
     let high = this.samples.length;
     while (low < high) {
@@ -73,13 +72,14 @@
     return this.samples[low - 1];
   }
 
-  private dataTime(time: number): number {
-    const since = this.frozenSince;
-    const frozen = since === undefined ? 0 : this.overlap(since, time);
-    return time - this.frozenMs - frozen;
+  private toDataTime(time: number): number {
+    const startedAt = this.frozenAt;
+    const currentlyFrozenMs =
+      startedAt === undefined ? 0 : this.computeFrozenMs(startedAt, time);
+    return time - this.frozenMs - currentlyFrozenMs;
   }
 
-  private overlap(since: number, time: number): number {
-    return Math.max(0, Math.min(time, this.frozenUntil) - since);
+  private computeFrozenMs(startedAt: number, time: number): number {
+    return Math.max(0, Math.min(time, this.frozenUntil) - startedAt);
   }
 }
--- a/src/services/routing/common/outlier_ejection.ts
+++ b/src/services/routing/common/outlier_ejection.ts
@@ -1,66 +1,65 @@
 import type {InstanceId} from '../../../base/common/ids';
 
-/** Failures in a row after which a target is left alone. */
+/** Consecutive failures after which a target is ejected. */
 const FAILURES_TO_EJECT = 3;
-const FIRST_EJECTION_MS = 500;
-const MOST_EJECTION_MS = 10_000;
-/** After its return a target takes this many transactions at most... */
-const RETURN_CONCURRENCY = 1;
-/** ...for so long, in milliseconds. */
-const RETURN_MS = 1_000;
+const MIN_EJECTION_MS = 500;
+const MAX_EJECTION_MS = 10_000;
+const RECOVERY_CONCURRENCY = 1;
+const RECOVERY_MS = 1_000;
 
 interface TargetHealth {
-  failures: number;
-  ejections: number;
+  failureCount: number;
+  ejectionCount: number;
   ejectedUntil: number;
-  gentleUntil: number;
+  recoveringUntil: number;
 }
 
 /**
- * Targets that keep failing are left alone for a while and come back slowly.
- * Not the last one: with fewer than the floor left nobody is ejected, since a
- * fault that all share is no fault of the targets.
+ * Ejects targets that fail repeatedly for a while, and limits their concurrency
+ * after their return. A minimum of usable targets is never ejected, since
+ * failures of all targets have a common cause.
  */
 export class OutlierEjection {
   private readonly targets = new Map<InstanceId, TargetHealth>();
 
-  constructor(private readonly leastUsable: number) {}
+  constructor(private readonly minUsableCount: number) {}
 
   onSuccess(instance: InstanceId, now: number): void {
-    const health = this.healthOf(instance);
-    health.failures = 0;
-    if (now >= health.gentleUntil) health.ejections = 0;
+    const health = this.getHealth(instance);
+    health.failureCount = 0;
+    if (now >= health.recoveringUntil) health.ejectionCount = 0;
   }
 
-  onFailure(instance: InstanceId, usable: number, now: number): void {
-    const health = this.healthOf(instance);
-    health.failures++;
-    if (health.failures < FAILURES_TO_EJECT) return;
-    if (usable <= this.leastUsable) return;
-    health.failures = 0;
-    const wait = FIRST_EJECTION_MS * 2 ** health.ejections++;
-    health.ejectedUntil = now + Math.min(wait, MOST_EJECTION_MS);
-    health.gentleUntil = health.ejectedUntil + RETURN_MS;
+  onFailure(instance: InstanceId, usableCount: number, now: number): void {
+    const health = this.getHealth(instance);
+    health.failureCount++;
+    if (health.failureCount < FAILURES_TO_EJECT) return;
+    if (usableCount <= this.minUsableCount) return;
+    health.failureCount = 0;
+    const ejectionMs = MIN_EJECTION_MS * 2 ** health.ejectionCount++;
+    health.ejectedUntil = now + Math.min(ejectionMs, MAX_EJECTION_MS);
+    health.recoveringUntil = health.ejectedUntil + RECOVERY_MS;
   }
 
   isEjected(instance: InstanceId, now: number): boolean {
     return now < (this.targets.get(instance)?.ejectedUntil ?? 0);
   }
 
-  /** How many transactions a target may run now. */
+  /** How many transactions a target may run at a time. */
   concurrencyLimitOf(instance: InstanceId, now: number): number {
-    const gentle = now < (this.targets.get(instance)?.gentleUntil ?? 0);
-    return gentle ? RETURN_CONCURRENCY : Infinity;
+    const isRecovering =
+      now < (this.targets.get(instance)?.recoveringUntil ?? 0);
+    return isRecovering ? RECOVERY_CONCURRENCY : Infinity;
   }
 
-  private healthOf(instance: InstanceId): TargetHealth {
-    const known = this.targets.get(instance);
-    if (known) return known;
+  private getHealth(instance: InstanceId): TargetHealth {
+    const existing = this.targets.get(instance);
+    if (existing) return existing;
     const health = {
-      failures: 0,
-      ejections: 0,
+      failureCount: 0,
+      ejectionCount: 0,
       ejectedUntil: 0,
-      gentleUntil: 0,
+      recoveringUntil: 0,
     };
     this.targets.set(instance, health);
     return health;
--- a/src/services/routing/common/route_read.ts
+++ b/src/services/routing/common/route_read.ts
@@ -1,34 +1,34 @@
 import type {InstanceId, SiteId} from '../../../base/common/ids';
 
-/** What a read needs. */
+/** Which members may serve a read. */
 export interface ReadRequirement {
-  /** The age that its class accepts, 0 for the primary only. */
+  /** The maximum age of data that its class accepts; 0 for the primary only. */
   readonly maxAgeMs: number;
   /** The offset that its session must see; undefined while unknown. */
   readonly minOffset: number | undefined;
-  /** Rather older figures with a notice than none. */
+  /** Whether stale data with a notice are better than none. */
   readonly allowsOlder: boolean;
   readonly waitedMs: number;
 }
 
-/** What is known of a member that could serve a read. */
+/** The state of a member that may serve a read. */
 export interface ReadCandidate {
   readonly instance: InstanceId;
   readonly isPrimary: boolean;
-  /** It may take work: connected, not leaving, not drained, not ejected. */
+  /** Whether it is connected, and not leaving, drained or ejected. */
   readonly isUsable: boolean;
   readonly appliedOffset: number;
   readonly ageMs: number;
-  /** Connections that could start a transaction now. */
+  /** Idle connections, on which a transaction can start at once. */
   readonly freeCount: number;
   readonly runningCount: number;
-  /** One-way latency from this proxy, in milliseconds. */
+  /** One-way latency from this proxy. */
   readonly latencyMs: number;
-  /** How long its applying usually lags, in milliseconds. */
+  /** How far it usually lags behind the primary. */
   readonly lagMs: number;
 }
 
-/** Where a read goes. */
+/** The member for a read, or why the read has to wait. */
 export type RouteDecision =
   | {
       readonly kind: 'go';
@@ -51,91 +51,95 @@
   | 'primary busy'
   | 'no primary';
 
-/** A busy replica is waited for this long before the primary helps out. */
-const BUSY_PATIENCE_MS = 25;
-/** The primary helps only while it has this many connections left free. */
-const PRIMARY_RESERVE = 1;
-/** A replica that lags no more than this is waited for, at most so long. */
-const CATCH_UP_PATIENCE_MS = 15;
-/** After this long without a primary older figures may be given. */
-const OLDER_PATIENCE_MS = 100;
+/** How long a read waits for a busy replica before it may use the primary. */
+const BUSY_REPLICA_WAIT_MS = 25;
+/** Connections of the primary that are not used for reads of replicas. */
+const RESERVED_CONNECTION_COUNT = 1;
+/** How long a read waits for a replica to catch up, and its maximum lag. */
+const MAX_CATCH_UP_MS = 15;
+/** How long a read waits for a primary before it may return stale data. */
+const STALE_DATA_WAIT_MS = 100;
 
-/** Decides where a read goes; the same inputs give the same answer. */
+/** Chooses the member for a read; deterministic. */
 export function routeRead(
-  demand: ReadRequirement,
+  requirement: ReadRequirement,
   candidates: readonly ReadCandidate[],
 ): RouteDecision {
   const primary = candidates.find(
     ({isPrimary, isUsable}) => isPrimary && isUsable,
   );
-  if (demand.maxAgeMs === 0) {
-    return toPrimary(primary, 'primary: the class accepts no age');
+  if (requirement.maxAgeMs === 0) {
+    return usePrimary(primary, 'primary: the class accepts no age');
   }
   const replicas = candidates.filter(candidate => {
     return candidate.isUsable && !candidate.isPrimary;
   });
-  const {minOffset} = demand;
+  const {minOffset} = requirement;
   if (minOffset === undefined) {
     return {kind: 'wait', reason: 'position at arrival unknown'};
   }
-  const current = replicas.filter(({appliedOffset}) => {
+  const sufficient = replicas.filter(({appliedOffset}) => {
     return appliedOffset >= minOffset;
   });
-  const fresh = current.filter(({ageMs}) => ageMs <= demand.maxAgeMs);
-  if (fresh.length > 0) return amongFresh(demand, fresh, primary);
-  return withoutFresh(demand, replicas, current, primary);
+  const fresh = sufficient.filter(({ageMs}) => ageMs <= requirement.maxAgeMs);
+  if (fresh.length > 0) return routeAmongFresh(requirement, fresh, primary);
+  return routeWithoutFresh(requirement, replicas, sufficient, primary);
 }
 
-function amongFresh(
-  demand: ReadRequirement,
+function routeAmongFresh(
+  requirement: ReadRequirement,
   fresh: readonly ReadCandidate[],
   primary: ReadCandidate | undefined,
 ): RouteDecision {
   const free = fresh.filter(candidate => candidate.freeCount > 0);
-  const [best] = [...free].sort(byNearness);
-  if (best) return go(best, 'replica within age');
-  const spare = primary !== undefined && primary.freeCount > PRIMARY_RESERVE;
-  if (spare && demand.waitedMs >= BUSY_PATIENCE_MS) {
-    return go(primary, 'primary: replicas busy');
+  const [best] = [...free].sort(compareByLatency);
+  if (best) return makeRoute(best, 'replica within age');
+  const hasSpare =
+    primary !== undefined && primary.freeCount > RESERVED_CONNECTION_COUNT;
+  if (hasSpare && requirement.waitedMs >= BUSY_REPLICA_WAIT_MS) {
+    return makeRoute(primary, 'primary: replicas busy');
   }
   return {kind: 'wait', reason: 'replica busy'};
 }
 
-function withoutFresh(
-  demand: ReadRequirement,
+function routeWithoutFresh(
+  requirement: ReadRequirement,
   replicas: readonly ReadCandidate[],
-  current: readonly ReadCandidate[],
+  sufficient: readonly ReadCandidate[],
   primary: ReadCandidate | undefined,
 ): RouteDecision {
-  const patience = Math.min(CATCH_UP_PATIENCE_MS, demand.maxAgeMs);
-  const soon = replicas.some(({lagMs}) => lagMs <= patience);
-  if (soon && demand.waitedMs < patience) {
+  const maxWaitMs = Math.min(MAX_CATCH_UP_MS, requirement.maxAgeMs);
+  const willCatchUp = replicas.some(({lagMs}) => lagMs <= maxWaitMs);
+  if (willCatchUp && requirement.waitedMs < maxWaitMs) {
     return {kind: 'wait', reason: 'replica about to catch up'};
   }
-  if (primary) return toPrimary(primary, 'primary: replicas too far behind');
-  if (demand.allowsOlder && demand.waitedMs >= OLDER_PATIENCE_MS) {
-    const free = current.filter(candidate => candidate.freeCount > 0);
+  if (primary) return usePrimary(primary, 'primary: replicas too far behind');
+  if (requirement.allowsOlder && requirement.waitedMs >= STALE_DATA_WAIT_MS) {
+    const free = sufficient.filter(candidate => candidate.freeCount > 0);
     const [newest] = [...free].sort((a, b) => a.ageMs - b.ageMs);
-    if (newest) return go(newest, 'older replica with notice');
+    if (newest) return makeRoute(newest, 'older replica with notice');
   }
   return {kind: 'wait', reason: 'no primary'};
 }
 
-function toPrimary(
+function usePrimary(
   primary: ReadCandidate | undefined,
   reason: RouteReason,
 ): RouteDecision {
   if (!primary) return {kind: 'wait', reason: 'no primary'};
-  if (primary.freeCount > 0) return go(primary, reason);
+  if (primary.freeCount > 0) return makeRoute(primary, reason);
   return {kind: 'wait', reason: 'primary busy'};
 }
 
-function go({instance}: ReadCandidate, reason: RouteReason): RouteDecision {
+function makeRoute(
+  {instance}: ReadCandidate,
+  reason: RouteReason,
+): RouteDecision {
   return {kind: 'go', instance, reason};
 }
 
-/** Nearest first, then the one with the least to do. */
-function byNearness(a: ReadCandidate, b: ReadCandidate): number {
+/** Orders by latency, then by load, then by name. */
+function compareByLatency(a: ReadCandidate, b: ReadCandidate): number {
   return (
     a.latencyMs - b.latencyMs ||
     a.runningCount - b.runningCount ||
@@ -143,5 +147,5 @@
   );
 }
 
-/** The latency between two sites, as settings give it. */
+/** Returns the one-way latency between two sites from the settings. */
 export type SiteLatency = (from: SiteId, to: SiteId) => number;
--- a/src/services/routing/test/common/offset_history.test.ts
+++ b/src/services/routing/test/common/offset_history.test.ts
@@ -1,21 +1,21 @@
 import {describe, expect, it} from 'vitest';
 import {OffsetHistory} from '../../common/offset_history';
 
-describe('the age of figures', () => {
-  it('counts from when the primary was asked, not from its answer', () => {
+describe('OffsetHistory', () => {
+  it('counts the age from the request to the primary, not its reply', () => {
     const history = new OffsetHistory();
     history.onSample(100, 7);
     expect(history.ageOf(7, 130)).toBe(30);
     expect(history.ageOf(6, 130)).toBe(Infinity);
   });
 
-  it('does not grow for a replica that has all there is', () => {
+  it('does not age a replica that has all data', () => {
     const history = new OffsetHistory();
     for (let time = 0; time <= 1_000; time += 50) history.onSample(time, 7);
     expect(history.ageOf(7, 1_010)).toBe(10);
   });
 
-  it('takes the newest sample that a lagging replica has reached', () => {
+  it('uses the newest sample that a lagging replica has reached', () => {
     const history = new OffsetHistory();
     history.onSample(100, 5);
     history.onSample(200, 8);
@@ -24,10 +24,9 @@
     expect(history.ageOf(7, 310)).toBe(210);
   });
 
-  // The primary is lost during a board meeting. For a second nobody can write,
-  // so figures that were fresh enough still are: refusing them would stall the
-  // meeting for nothing.
-  it('stands still while nobody can acknowledge a write', () => {
+  // During an outage of the primary, reads of fresh data would be refused
+  // although nothing newer exists.
+  it('does not age data while no write can be acknowledged', () => {
     const history = new OffsetHistory();
     history.onSample(100, 5);
     history.onWritesBlocked(150, 160);
@@ -37,9 +36,9 @@
     expect(history.ageOf(5, 1_100)).toBe(260);
   });
 
-  // A notice that was under way for a second arrives when another proxy
-  // already acknowledges again. It proves nothing about the time since.
-  it('does not stand still on the word of a notice alone', () => {
+  // A late notice may arrive when another proxy acknowledges writes again, so
+  // it says nothing about the time until its receipt.
+  it('ages data despite a notice without a request', () => {
     const history = new OffsetHistory();
     history.onSample(100, 5);
     history.onWritesBlocked(-Infinity, 160);
@@ -48,9 +47,9 @@
     expect(history.ageOf(5, 1_000)).toBe(900);
   });
 
-  // An old primary had writes that no replica confirmed. After the change they
-  // are gone: a replica at the start of the new term has all that counts.
-  it('forgets offsets past the start of a new term', () => {
+  // Unconfirmed writes of an old primary are rolled back; a replica at the
+  // start of the new term has all acknowledged data.
+  it('lowers offsets past the start of a new term', () => {
     const history = new OffsetHistory();
     history.onSample(100, 50);
     history.onSample(200, 60);
