--- a/src/services/admission/common/class_admission.ts
+++ b/src/services/admission/common/class_admission.ts
@@ -10,60 +10,60 @@
 import {WorkTimes, type WorkKind} from './work_times';
 
 /**
- * What one instance knows for admitting requests by class: for which services
- * it is on, what their work takes, and how much may be repeated. With it off,
- * patience is a part of the objective and repeats have no budget.
+ * Admission control by priority class: wait budgets from measured work times,
+ * and retry budgets. For services without classes, the wait budget is a fixed
+ * fraction of the objective, and retries are not limited.
  */
 export class ClassAdmission {
-  private services: ReadonlySet<string> = new Set();
-  private readonly times = new WorkTimes();
-  private readonly budgets = new Map<string, RetryBudget>();
+  private prioritized: ReadonlySet<string> = new Set();
+  private readonly workTimes = new WorkTimes();
+  private readonly retryBudgets = new Map<string, RetryBudget>();
 
   constructor(private readonly clock: Clock) {}
 
   setRoutes(
     routes: readonly Pick<DatabaseRoute, 'service' | 'priority'>[],
   ): void {
-    this.services = findPrioritizedServices(routes);
-    for (const service of this.budgets.keys()) {
-      if (!this.services.has(service)) this.budgets.delete(service);
+    this.prioritized = findPrioritizedServices(routes);
+    for (const service of this.retryBudgets.keys()) {
+      if (!this.prioritized.has(service)) this.retryBudgets.delete(service);
     }
   }
 
   isEnabled(service: string): boolean {
-    return this.services.has(service);
+    return this.prioritized.has(service);
   }
 
-  /** How long a request may wait for a place, in milliseconds. */
-  waitBudgetMs(kind: WorkKind, terms: WaitBudgetInputs): number {
-    if (!this.isEnabled(kind.service)) return computeWaitBudget(terms);
-    return computeWaitBudgetByClass(terms, this.times.upperBoundMs(kind));
+  /** How long a request may wait for a connection. */
+  waitBudgetMs(kind: WorkKind, inputs: WaitBudgetInputs): number {
+    if (!this.isEnabled(kind.service)) return computeWaitBudget(inputs);
+    return computeWaitBudgetByClass(inputs, this.workTimes.upperBoundMs(kind));
   }
 
-  /** The same for work that takes no time: nothing waits longer in time. */
-  maxWaitBudgetMs(terms: WaitBudgetInputs): number {
-    return computeWaitBudgetByClass(terms, 0);
+  /** The wait budget of work that takes no time, an upper bound for all. */
+  maxWaitBudgetMs(inputs: WaitBudgetInputs): number {
+    return computeWaitBudgetByClass(inputs, 0);
   }
 
-  /** Takes note of what work took at members, in milliseconds. */
-  onDidWork(kind: WorkKind, tookMs: number): void {
-    if (this.isEnabled(kind.service)) this.times.record(kind, tookMs);
+  /** Records how long work took on a member. */
+  onDidWork(kind: WorkKind, workMs: number): void {
+    if (this.isEnabled(kind.service)) this.workTimes.record(kind, workMs);
   }
 
-  /** Takes note of a request, of which a part may be repeated. */
+  /** Records a request, which extends the retry budget of its service. */
   onRequest(service: string): void {
-    this.budgetOf(service)?.onRequest(this.clock.now());
+    this.retryBudgetOf(service)?.onRequest(this.clock.now());
   }
 
-  /** Whether one more request of a service may be repeated. */
+  /** Takes one retry of a service's budget; false if it is exhausted. */
   canRetry(service: string): boolean {
-    return this.budgetOf(service)?.take(this.clock.now()) ?? true;
+    return this.retryBudgetOf(service)?.tryAcquire(this.clock.now()) ?? true;
   }
 
-  private budgetOf(service: string): RetryBudget | undefined {
+  private retryBudgetOf(service: string): RetryBudget | undefined {
     if (!this.isEnabled(service)) return undefined;
-    const known = this.budgets.get(service) ?? new RetryBudget();
-    this.budgets.set(service, known);
-    return known;
+    const budget = this.retryBudgets.get(service) ?? new RetryBudget();
+    this.retryBudgets.set(service, budget);
+    return budget;
   }
 }
--- a/src/services/admission/common/fair_queue.ts
+++ b/src/services/admission/common/fair_queue.ts
@@ -1,43 +1,39 @@
 import type {CallerName} from '../../../base/common/ids';
 import {MinShares} from './min_shares';
 
-/** A request that waits for its turn. */
+/** What the queue needs to know of a request. */
 export interface QueuedRequest {
   readonly caller: CallerName;
-  /** 0 comes first. */
+  /** 0 is the most urgent. */
   readonly priority: number;
-  /** On the monotonic clock, in milliseconds. */
+  /** On the monotonic clock. */
   readonly deadline: number;
-  /** When its caller expects the answer, on the same clock. */
+  /** When the caller expects the reply, on the same clock. */
   readonly dueAt: number;
 }
 
-type Verdict = 'taken' | 'later' | 'stop';
+type OfferResult = 'taken' | 'later' | 'stop';
 
 /**
- * Requests of one service in a fair order: first those that can still be
- * answered when their callers expect it, then by priority, then each caller in
- * turn, then first come first served. A caller that floods the queue waits
- * behind its own requests only.
+ * The queued requests of one service in a fair order: by priority, then round
+ * robin over the callers, then first in, first out.
  *
- * What is overdue goes last: after an outage everybody who waited stands here,
- * and served in the order of arrival each of them is late, and so is each one
- * that comes while they are served.
- *
- * By class, each priority that waits gets a least part of the places.
+ * Overdue requests come last; after an outage they would otherwise make later
+ * requests overdue as well. With priority classes, each queued priority gets a
+ * minimum share.
  */
 export class FairQueue<T extends QueuedRequest> {
-  /** By priority; inside, callers in the order in which their turn comes. */
-  private readonly levels = new Map<number, Map<CallerName, T[]>>();
-  private readonly parts = new MinShares();
-  private isByClass = false;
+  /** By priority, then by caller in round-robin order. */
+  private readonly callersByPriority = new Map<number, Map<CallerName, T[]>>();
+  private readonly minShares = new MinShares();
+  private hasMinShares = false;
   private count = 0;
 
-  /** Whether each priority gets a least part; else the order is strict. */
-  setMinShares(isByClass: boolean): void {
-    if (isByClass === this.isByClass) return;
-    this.isByClass = isByClass;
-    this.parts.clear();
+  /** Sets whether each priority gets a minimum share; else it gets none. */
+  setMinShares(hasMinShares: boolean): void {
+    if (hasMinShares === this.hasMinShares) return;
+    this.hasMinShares = hasMinShares;
+    this.minShares.clear();
   }
 
   get size(): number {
@@ -45,55 +41,57 @@
   }
 
   add(item: T): void {
-    const level = this.levels.get(item.priority) ?? new Map();
-    this.levels.set(item.priority, level);
-    const own = level.get(item.caller) ?? [];
-    own.push(item);
-    level.set(item.caller, own);
+    const callers = this.callersByPriority.get(item.priority) ?? new Map();
+    this.callersByPriority.set(item.priority, callers);
+    const items = callers.get(item.caller) ?? [];
+    items.push(item);
+    callers.set(item.caller, items);
     this.count++;
   }
 
-  /** Takes one request out; false where it is not here. */
+  /** Removes a request; returns false if it is not queued. */
   remove(item: T): boolean {
-    const level = this.levels.get(item.priority);
-    const own = level?.get(item.caller);
-    const at = own?.indexOf(item) ?? -1;
-    if (!level || !own || at < 0) return false;
-    own.splice(at, 1);
+    const callers = this.callersByPriority.get(item.priority);
+    const items = callers?.get(item.caller);
+    const index = items?.indexOf(item) ?? -1;
+    if (!callers || !items || index < 0) return false;
+    items.splice(index, 1);
     this.count--;
-    if (own.length === 0) level.delete(item.caller);
+    if (items.length === 0) callers.delete(item.caller);
     return true;
   }
 
-  /** How many requests that count would be served before one. */
+  /** Counts the matching requests that would be served before a new one. */
   countAhead(
     {caller, priority}: Pick<QueuedRequest, 'caller' | 'priority'>,
-    counts: (other: T) => boolean = () => true,
+    matches: (other: T) => boolean = () => true,
   ): number {
     if (this.count === 0) return 0;
-    let ahead = 0;
-    for (const [level, callers] of this.levels) {
-      if (level > priority) continue;
-      const own = callers.get(caller)?.filter(counts).length ?? 0;
+    let aheadCount = 0;
+    for (const [queuedPriority, callers] of this.callersByPriority) {
+      if (queuedPriority > priority) continue;
+      const ownCount = callers.get(caller)?.filter(matches).length ?? 0;
       for (const items of callers.values()) {
-        const all = level < priority;
-        const length = items.filter(counts).length;
-        ahead += all ? length : Math.min(length, own + 1);
+        const precedesAll = queuedPriority < priority;
+        const length = items.filter(matches).length;
+        aheadCount += precedesAll ? length : Math.min(length, ownCount + 1);
       }
     }
-    return ahead;
+    return aheadCount;
   }
 
-  /** The priorities that wait, the most urgent first. */
+  /** The queued priorities, the most urgent first. */
   get priorities(): number[] {
-    const waiting = [...this.levels].filter(([, callers]) => callers.size > 0);
-    return waiting.map(([priority]) => priority).sort((a, b) => a - b);
+    const queued = [...this.callersByPriority].filter(
+      ([, callers]) => callers.size > 0,
+    );
+    return queued.map(([priority]) => priority).sort((a, b) => a - b);
   }
 
-  /** All that waits, by priority, and inside by turns of the callers. */
+  /** All queued requests by priority, then round robin over the callers. */
   *inOrder(): Iterable<T> {
     for (const priority of this.priorities) {
-      const callers = [...this.levels.get(priority)!.values()];
+      const callers = [...this.callersByPriority.get(priority)!.values()];
       const longest = Math.max(...callers.map(({length}) => length));
       for (let turn = 0; turn < longest; turn++) {
         for (const items of callers) {
@@ -104,23 +102,23 @@
   }
 
   /**
-   * Offers requests in fair order until `take` says to stop. A request that is
-   * taken leaves the queue, and its caller goes to the end of the turn. What
-   * was left for later is not offered again.
+   * Offers requests in fair order until `take` returns 'stop'. A request that
+   * is taken leaves the queue, and its caller becomes the last of its priority.
+   * A request that is left for later is not offered again in this call.
    */
-  offer(now: number, take: (item: T) => Verdict): void {
+  offer(now: number, take: (item: T) => OfferResult): void {
     for (const isOverdue of [false, true]) {
-      const takeDue = (item: T) => {
+      const takeIfDue = (item: T) => {
         return item.dueAt <= now === isOverdue ? take(item) : 'later';
       };
-      if (!this.serveLevels(takeDue)) return;
+      if (!this.offerByPriority(takeIfDue)) return;
     }
   }
 
-  /** Takes out what is past its deadline. */
+  /** Removes and returns the requests past their deadline. */
   expire(now: number): T[] {
     const expired: T[] = [];
-    for (const callers of this.levels.values()) {
+    for (const callers of this.callersByPriority.values()) {
       for (const items of callers.values()) {
         expired.push(...items.filter(({deadline}) => deadline <= now));
       }
@@ -129,58 +127,60 @@
     return expired;
   }
 
-  private serveLevels(take: (item: T) => Verdict): boolean {
-    const passed = new Map(
+  private offerByPriority(take: (item: T) => OfferResult): boolean {
+    const skipped = new Map(
       this.priorities.map(priority => [priority, new Map()]),
     );
-    while (passed.size > 0) {
-      const waiting = [...passed.keys()];
-      const [priority] = this.isByClass ? this.parts.order(waiting) : waiting;
-      const verdict = this.offerOne(priority!, passed.get(priority!)!, take);
-      if (verdict === 'stop') return false;
-      if (verdict === undefined) passed.delete(priority!);
-      if (verdict === 'taken') this.notePlaced(priority!);
+    while (skipped.size > 0) {
+      const queued = [...skipped.keys()];
+      const [priority] = this.hasMinShares
+        ? this.minShares.order(queued)
+        : queued;
+      const result = this.offerNext(priority!, skipped.get(priority!)!, take);
+      if (result === 'stop') return false;
+      if (result === undefined) skipped.delete(priority!);
+      if (result === 'taken') this.recordServed(priority!);
     }
     return true;
   }
 
-  private notePlaced(priority: number): void {
-    if (this.isByClass) this.parts.onServed(priority, this.priorities);
+  private recordServed(priority: number): void {
+    if (this.hasMinShares) this.minShares.onServed(priority, this.priorities);
   }
 
   /** Offers requests of one priority until one is taken; undefined if none. */
-  private offerOne(
+  private offerNext(
     priority: number,
-    passed: Map<CallerName, number>,
-    take: (item: T) => Verdict,
+    skipped: Map<CallerName, number>,
+    take: (item: T) => OfferResult,
   ): 'taken' | 'stop' | undefined {
-    const level = this.levels.get(priority)!;
+    const callers = this.callersByPriority.get(priority)!;
     for (;;) {
-      const next = this.nextOf(level, passed);
+      const next = this.findNext(callers, skipped);
       if (!next) return undefined;
       const [caller, item] = next;
-      const verdict = take(item);
-      if (verdict === 'stop') return 'stop';
-      if (verdict === 'later') {
-        passed.set(caller, (passed.get(caller) ?? 0) + 1);
+      const result = take(item);
+      if (result === 'stop') return 'stop';
+      if (result === 'later') {
+        skipped.set(caller, (skipped.get(caller) ?? 0) + 1);
         continue;
       }
       this.remove(item);
-      const rest = level.get(caller);
-      if (rest) {
-        level.delete(caller);
-        level.set(caller, rest);
+      const remaining = callers.get(caller);
+      if (remaining) {
+        callers.delete(caller);
+        callers.set(caller, remaining);
       }
       return 'taken';
     }
   }
 
-  private nextOf(
-    level: Map<CallerName, T[]>,
-    passed: Map<CallerName, number>,
+  private findNext(
+    callers: Map<CallerName, T[]>,
+    skipped: Map<CallerName, number>,
   ): [CallerName, T] | undefined {
-    for (const [caller, items] of level) {
-      const item = items[passed.get(caller) ?? 0];
+    for (const [caller, items] of callers) {
+      const item = items[skipped.get(caller) ?? 0];
       if (item) return [caller, item];
     }
     return undefined;
--- a/src/services/admission/common/min_shares.ts
+++ b/src/services/admission/common/min_shares.ts
@@ -1,45 +1,44 @@
-/** Of so many places, each priority that waits gets one at least. */
-const PLACES_PER_TURN = 10;
-const PASSED_PER_TURN = PLACES_PER_TURN - 1;
-/** What could use no place for long does not get a row of them then. */
-const MOST_PASSED = 2 * PASSED_PER_TURN;
+/** Of this many turns, each queued priority gets at least one. */
+const TURNS_PER_SHARE = 10;
+const SKIPS_PER_SHARE = TURNS_PER_SHARE - 1;
+/** Bounds the turns that a priority gets in a row after it used none. */
+const MAX_SKIP_COUNT = 2 * SKIPS_PER_SHARE;
 
 /**
- * The least part of the places that each waiting priority gets. Strict order
- * alone would let the least urgent starve for as long as urgent work fills the
- * members; with this it goes on at a tenth.
+ * Gives each queued priority a minimum share of the turns, so that urgent
+ * requests beyond the capacity do not starve the less urgent ones.
  */
 export class MinShares {
-  /** Places that went to others while a priority waited. */
-  private readonly passed = new Map<number, number>();
+  /** Turns that other priorities got while a priority was queued. */
+  private readonly skipCounts = new Map<number, number>();
 
-  /** The order in which priorities are offered the next place. */
-  order(waiting: readonly number[]): number[] {
-    const inOrder = [...waiting].sort((a, b) => a - b);
-    const owed = inOrder.filter(priority => this.isOwed(priority));
-    const others = inOrder.filter(priority => !this.isOwed(priority));
-    return [...owed, ...others];
+  /** The order in which priorities are offered the next turn. */
+  order(queued: readonly number[]): number[] {
+    const sorted = [...queued].sort((a, b) => a - b);
+    const due = sorted.filter(priority => this.isDue(priority));
+    const others = sorted.filter(priority => !this.isDue(priority));
+    return [...due, ...others];
   }
 
-  /** Takes note of a place that was given while priorities wait. */
-  onServed(priority: number, waiting: readonly number[]): void {
-    const left = (this.passed.get(priority) ?? 0) - PASSED_PER_TURN;
-    this.passed.set(priority, Math.max(0, left));
-    for (const other of [...this.passed.keys()]) {
-      if (!waiting.includes(other)) this.passed.delete(other);
+  /** Records the turn of a priority while others are queued. */
+  onServed(priority: number, queued: readonly number[]): void {
+    const skipCount = (this.skipCounts.get(priority) ?? 0) - SKIPS_PER_SHARE;
+    this.skipCounts.set(priority, Math.max(0, skipCount));
+    for (const other of [...this.skipCounts.keys()]) {
+      if (!queued.includes(other)) this.skipCounts.delete(other);
     }
-    for (const other of waiting) {
+    for (const other of queued) {
       if (other === priority) continue;
-      const passed = (this.passed.get(other) ?? 0) + 1;
-      this.passed.set(other, Math.min(passed, MOST_PASSED));
+      const skipCount = (this.skipCounts.get(other) ?? 0) + 1;
+      this.skipCounts.set(other, Math.min(skipCount, MAX_SKIP_COUNT));
     }
   }
 
   clear(): void {
-    this.passed.clear();
+    this.skipCounts.clear();
   }
 
-  private isOwed(priority: number): boolean {
-    return (this.passed.get(priority) ?? 0) >= PASSED_PER_TURN;
+  private isDue(priority: number): boolean {
+    return (this.skipCounts.get(priority) ?? 0) >= SKIPS_PER_SHARE;
   }
 }
--- a/src/services/admission/common/retry_budget.ts
+++ b/src/services/admission/common/retry_budget.ts
@@ -1,49 +1,51 @@
 import {sumOf} from '../../../base/common/numbers';
 
-/** Repeats may be this part of the requests of the last seconds. */
-const REPEAT_PART = 0.1;
-/** So many more: a single failure among few requests is repeated. */
-const RESERVE = 10;
+/** Retries, as a fraction of the requests within the window. */
+const RETRY_FRACTION = 0.1;
+/** Allowed in addition, for services with few requests. */
+const MIN_RETRIES = 10;
 const STEP_MS = 500;
-/** Requests and repeats of so many steps count: 4 s. */
-const STEPS = 8;
+/** Length of the sliding window. */
+const STEP_COUNT = 8;
 
 interface Step {
-  at: number;
-  requests: number;
-  repeats: number;
+  index: number;
+  requestCount: number;
+  retryCount: number;
 }
 
 /**
- * How much of the work of one service may be repeated. A fleet that tries each
- * failing request six times turns a part of its members' trouble into a load
- * that the rest cannot carry.
+ * Limits the retries of one service's requests in a sliding window, so that the
+ * failure of some members does not overload the others.
  */
 export class RetryBudget {
   private readonly steps: Step[] = [];
 
   onRequest(now: number): void {
-    this.stepAt(now).requests++;
+    this.getStep(now).requestCount++;
   }
 
-  /** Takes one repeat; false where the budget is used up. */
-  take(now: number): boolean {
-    const step = this.stepAt(now);
-    const requests = sumOf(this.steps.map(one => one.requests));
-    const repeats = sumOf(this.steps.map(one => one.repeats));
-    if (repeats >= requests * REPEAT_PART + RESERVE) return false;
-    step.repeats++;
+  /** Takes one retry; returns false if the budget is exhausted. */
+  tryAcquire(now: number): boolean {
+    const step = this.getStep(now);
+    const requestCount = sumOf(this.steps.map(item => item.requestCount));
+    const retryCount = sumOf(this.steps.map(item => item.retryCount));
+    if (retryCount >= requestCount * RETRY_FRACTION + MIN_RETRIES) return false;
+    step.retryCount++;
     return true;
   }
 
-  private stepAt(now: number): Step {
-    const at = Math.floor(now / STEP_MS);
-    while (this.steps.length > 0 && this.steps[0]!.at <= at - STEPS) {
+  private getStep(now: number): Step {
+    const index = Math.floor(now / STEP_MS);
+    while (
+      this.steps.length > 0 &&
+      this.steps[0]!.index <= index - STEP_COUNT
+    ) {
       this.steps.shift();
     }
     const last = this.steps.at(-1);
-    if (last && last.at === at) return last;
-    const step = {at, requests: 0, repeats: 0};
+    if (last && last.index === index) return last;
+    const step = {index, requestCount: 0, retryCount: 0};
     this.steps.push(step);
     return step;
   }
--- a/src/services/admission/common/retry_pacer.ts
+++ b/src/services/admission/common/retry_pacer.ts
@@ -1,19 +1,19 @@
-/** Refused callers are not sent further away than this for it, in ms. */
-const MOST_SPREAD_MS = 1_000;
+/** Bounds the additional delay from spreading. */
+const MAX_SPREAD_MS = 1_000;
 
 /**
- * When refused callers come back. Those told within the same time get times
- * one after the other, as fast as the queue drains: all of them at one moment
- * would be the next crowd.
+ * Spreads the retries of refused callers at the rate at which the queue drains,
+ * so that they do not all return at once.
  */
 export class RetryPacer {
-  private lastAt = -Infinity;
+  private lastRetryAt = -Infinity;
 
-  /** The time for one who would wait so long, in milliseconds from now. */
-  nextDelayMs(now: number, afterMs: number, intervalMs: number): number {
-    const wanted = now + afterMs;
-    const inTurn = Math.max(wanted, this.lastAt + intervalMs);
-    this.lastAt = inTurn > wanted + MOST_SPREAD_MS ? wanted : inTurn;
-    return this.lastAt - now;
+  /** The retry delay of a request with an expected wait. */
+  nextDelayMs(now: number, expectedWaitMs: number, intervalMs: number): number {
+    const earliestAt = now + expectedWaitMs;
+    const nextAt = Math.max(earliestAt, this.lastRetryAt + intervalMs);
+    this.lastRetryAt =
+      nextAt > earliestAt + MAX_SPREAD_MS ? earliestAt : nextAt;
+    return this.lastRetryAt - now;
   }
 }
--- a/src/services/admission/common/wait_budget.ts
+++ b/src/services/admission/common/wait_budget.ts
@@ -1,62 +1,55 @@
-/** How long a request may wait for a place, as a part of its time. */
+/** The maximum wait, as a fraction of the statement's remaining time. */
 export const MAX_WAIT_FRACTION = 0.5;
-/**
- * The same by class, where requests wait for longer: below a half, so that a
- * refused caller still has the time for another try.
- */
-const WAIT_PART_BY_CLASS = 0.4;
-/** The same, as a part of what its caller expects of a whole operation. */
-const PATIENCE_PART = 0.25;
-/**
- * What work is taken to take while nothing is known of it, as a part of the
- * objective: after a start everybody asks at once, and connections open.
- */
-const UNKNOWN_WORK_PART = 0.5;
-/** A way between regions and back, in milliseconds. */
-const WAY_MS = 40;
+/** The same with priority classes; leaves a refused caller time for a retry. */
+const MAX_WAIT_FRACTION_BY_CLASS = 0.4;
+/** The maximum wait, as a fraction of the operation's objective. */
+const OBJECTIVE_FRACTION = 0.25;
+/** Expected work time while unknown, as a fraction of the objective. */
+const UNKNOWN_WORK_FRACTION = 0.5;
+/** A round trip between regions. */
+const ROUND_TRIP_MS = 40;
 
-/** What decides how long a request may wait for a place. */
+/** The inputs of the wait budget of a request. */
 export interface WaitBudgetInputs {
-  /** What its caller expects of a whole operation; 0: nothing. */
+  /** The latency objective of the whole operation; 0 if there is none. */
   readonly objectiveMs: number;
-  /** What is left of its statement's time, in milliseconds. */
   readonly statementTimeLeftMs: number;
-  /** What is left until its caller expects the answer, in milliseconds. */
+  /** Time until the caller expects the reply; negative if overdue. */
   readonly dueInMs: number;
-  /** How long it waited for places before, in milliseconds. */
+  /** How long it already waited for connections. */
   readonly waitedMs: number;
 }
 
 /**
- * How long a request may wait for a place, in milliseconds. After a quarter of
- * what its caller expects of it, three quarters are left for another instance
- * and for the work; a request that waited longer mostly came too late. One
- * that is late already gains nothing by asking elsewhere, and would use up its
- * caller's tries: it waits for longer.
+ * Computes how long a request may wait for a connection, in milliseconds. Most
+ * of the objective is left for the work and for a retry on another instance. An
+ * overdue request waits longer, since a retry would not make it faster.
  */
-export function computeWaitBudget(terms: WaitBudgetInputs): number {
-  const {objectiveMs, statementTimeLeftMs, dueInMs, waitedMs} = terms;
-  const most = statementTimeLeftMs * MAX_WAIT_FRACTION;
-  const isPlain = objectiveMs === 0 || dueInMs <= 0;
-  const inAll = isPlain ? most : Math.min(most, objectiveMs * PATIENCE_PART);
-  return inAll - waitedMs;
+export function computeWaitBudget(inputs: WaitBudgetInputs): number {
+  const {objectiveMs, statementTimeLeftMs, dueInMs, waitedMs} = inputs;
+  const maxWaitMs = statementTimeLeftMs * MAX_WAIT_FRACTION;
+  const ignoresObjective = objectiveMs === 0 || dueInMs <= 0;
+  const totalMs = ignoresObjective
+    ? maxWaitMs
+    : Math.min(maxWaitMs, objectiveMs * OBJECTIVE_FRACTION);
+  return totalMs - waitedMs;
 }
 
 /**
- * The same by class: what is left of the objective after the work and the way,
- * and never less than without classes.
+ * Computes the wait budget with priority classes: what the objective leaves
+ * after the work and a round trip, but at least the budget without classes.
  *
- * @param workMs What most work of this kind stays within; undefined: unknown.
+ * @param workMs An upper bound for most work of this kind; undefined: unknown.
  */
 export function computeWaitBudgetByClass(
-  terms: WaitBudgetInputs,
+  inputs: WaitBudgetInputs,
   workMs: number | undefined,
 ): number {
-  const {statementTimeLeftMs, dueInMs, objectiveMs, waitedMs} = terms;
-  const plain = computeWaitBudget(terms);
-  if (objectiveMs === 0 || dueInMs <= 0) return plain;
-  const most = statementTimeLeftMs * WAIT_PART_BY_CLASS - waitedMs;
-  const takes = workMs ?? objectiveMs * UNKNOWN_WORK_PART;
-  const left = dueInMs - takes - WAY_MS;
-  return Math.max(plain, Math.min(most, left));
+  const {statementTimeLeftMs, dueInMs, objectiveMs, waitedMs} = inputs;
+  const baseMs = computeWaitBudget(inputs);
+  if (objectiveMs === 0 || dueInMs <= 0) return baseMs;
+  const maxWaitMs = statementTimeLeftMs * MAX_WAIT_FRACTION_BY_CLASS - waitedMs;
+  const expectedWorkMs = workMs ?? objectiveMs * UNKNOWN_WORK_FRACTION;
+  const leftMs = dueInMs - expectedWorkMs - ROUND_TRIP_MS;
+  return Math.max(baseMs, Math.min(maxWaitMs, leftMs));
 }
--- a/src/services/admission/common/work_times.ts
+++ b/src/services/admission/common/work_times.ts
@@ -1,52 +1,53 @@
-/** Weight of a new time: it follows a change within about ten. */
-const WEIGHT = 0.1;
-/** So many mean deviations beyond the mean cover most of the work. */
-const DEVIATIONS = 2;
-/** Before so many were seen, nothing is known of a kind. */
-const LEAST_SEEN = 10;
-/** Kinds that are kept; services and priorities are some tens. */
-const MOST_KINDS = 512;
+const SAMPLE_WEIGHT = 0.1;
+/** Mean deviations above the mean that cover most of the work. */
+const DEVIATION_COUNT = 2;
+const MIN_SAMPLE_COUNT = 10;
+const MAX_KIND_COUNT = 512;
 
-/** A kind of work, as far as its time matters. */
+/** Work with similar durations. */
 export interface WorkKind {
   readonly service: string;
   readonly priority: number;
   readonly isTransaction: boolean;
 }
 
-interface Times {
-  seen: number;
+interface Statistics {
+  sampleCount: number;
   meanMs: number;
   deviationMs: number;
 }
 
-/** What work takes at members once it has its place, by service and kind. */
+/** Measures how long work takes on members, by kind. */
 export class WorkTimes {
-  private readonly kinds = new Map<string, Times>();
+  private readonly timesByKind = new Map<string, Statistics>();
 
-  /** Takes note of what a piece of work took, in milliseconds. */
-  record(kind: WorkKind, tookMs: number): void {
-    const key = keyOf(kind);
-    const times = this.kinds.get(key);
+  record(kind: WorkKind, workMs: number): void {
+    const key = makeKey(kind);
+    const times = this.timesByKind.get(key);
     if (!times) {
-      if (this.kinds.size >= MOST_KINDS) return;
-      this.kinds.set(key, {seen: 1, meanMs: tookMs, deviationMs: tookMs / 2});
+      if (this.timesByKind.size >= MAX_KIND_COUNT) return;
+      this.timesByKind.set(key, {
+        sampleCount: 1,
+        meanMs: workMs,
+        deviationMs: workMs / 2,
+      });
       return;
     }
-    const error = tookMs - times.meanMs;
-    times.seen++;
-    times.meanMs += error * WEIGHT;
-    times.deviationMs += (Math.abs(error) - times.deviationMs) * WEIGHT;
+    const errorMs = workMs - times.meanMs;
+    times.sampleCount++;
+    times.meanMs += errorMs * SAMPLE_WEIGHT;
+    times.deviationMs +=
+      (Math.abs(errorMs) - times.deviationMs) * SAMPLE_WEIGHT;
   }
 
-  /** What most work of a kind stays within; undefined while unknown. */
+  /** An upper bound for most work of a kind; undefined while unknown. */
   upperBoundMs(kind: WorkKind): number | undefined {
-    const times = this.kinds.get(keyOf(kind));
-    if (!times || times.seen < LEAST_SEEN) return undefined;
-    return times.meanMs + times.deviationMs * DEVIATIONS;
+    const times = this.timesByKind.get(makeKey(kind));
+    if (!times || times.sampleCount < MIN_SAMPLE_COUNT) return undefined;
+    return times.meanMs + times.deviationMs * DEVIATION_COUNT;
   }
 }
 
-function keyOf({service, priority, isTransaction}: WorkKind): string {
+function makeKey({service, priority, isTransaction}: WorkKind): string {
   return `${service} ${priority} ${isTransaction}`;
 }
--- a/src/services/admission/test/common/fair_queue.test.ts
+++ b/src/services/admission/test/common/fair_queue.test.ts
@@ -18,22 +18,21 @@
 
 const NOW = 0;
 
-function drain(queue: FairQueue<Item>, most = Infinity): string[] {
+function drain(queue: FairQueue<Item>, maxCount = Infinity): string[] {
   const served: string[] = [];
   queue.offer(NOW, ({name}) => {
-    if (served.length >= most) return 'stop';
+    if (served.length >= maxCount) return 'stop';
     served.push(name);
     return 'taken';
   });
   return served;
 }
 
-describe('the fair queue', () => {
-  // A practice sends hundreds of reviews at once. Another one's single filing
-  // waits behind all of them if the queue is first come, first served.
-  it('lets a flood of one caller wait behind itself only', () => {
+describe('FairQueue', () => {
+  // Without fairness, all callers would wait behind the flood of one.
+  it('delays only the requests of the caller that floods it', () => {
     const queue = new FairQueue<Item>();
-    for (let at = 0; at < 300; at++) queue.add(item(`flood${at}`, 'a'));
+    for (let i = 0; i < 300; i++) queue.add(item(`flood${i}`, 'a'));
     queue.add(item('quiet', 'b'));
     expect(drain(queue, 2)).toEqual(['flood0', 'quiet']);
   });
@@ -45,7 +44,7 @@
     expect(drain(queue)).toEqual(['release check', 'review']);
   });
 
-  it('passes over what cannot run yet and keeps it', () => {
+  it('skips and keeps requests that cannot run yet', () => {
     const queue = new FairQueue<Item>();
     queue.add(item('write', 'a'));
     queue.add(item('read', 'a'));
@@ -59,7 +58,7 @@
     expect(queue.size).toBe(1);
   });
 
-  it('gives up what is past its deadline', () => {
+  it('expires requests past their deadline', () => {
     const queue = new FairQueue<Item>();
     queue.add(item('late', 'a', 5, 50));
     queue.add(item('in time', 'a', 5, 150));
@@ -67,10 +66,9 @@
     expect(drain(queue)).toEqual(['in time']);
   });
 
-  it('serves those first that can still be in time', () => {
-    // A service was down for a second. All who waited stand in the queue, most
-    // of them past what their callers expect. In the order of arrival those
-    // who come now would be late as well, one after the other.
+  it('serves overdue requests last', () => {
+    // After an outage, new requests would become overdue behind the overdue
+    // ones.
     const queue = new FairQueue<Item>();
     queue.add(item('waited long', 'a', 1, 100, -5));
     queue.add(item('just came', 'b', 7, 100, 40));
@@ -82,31 +80,29 @@
     ]);
   });
 
-  it('counts what would be served before a request', () => {
+  it('counts the requests ahead of a new one', () => {
     const queue = new FairQueue<Item>();
-    for (let at = 0; at < 10; at++) queue.add(item(`a${at}`, 'a'));
+    for (let i = 0; i < 10; i++) queue.add(item(`a${i}`, 'a'));
     queue.add(item('first', 'c', 1));
     expect(queue.countAhead(item('new', 'b'))).toBe(2);
     expect(queue.countAhead(item('more', 'a'))).toBe(11);
   });
 });
 
-describe('a queue by class', () => {
-  /** More waits than is ever served. */
-  function makeCrowd(): FairQueue<Item> {
+describe('FairQueue with minimum shares', () => {
+  function makeFullQueue(): FairQueue<Item> {
     const queue = new FairQueue<Item>();
-    for (let at = 0; at < 100; at++) {
-      queue.add(item(`urgent${at}`, `u${at}`, 0));
-      queue.add(item(`middle${at}`, `m${at}`, 1));
-      queue.add(item(`patient${at}`, `p${at}`, 2));
+    for (let i = 0; i < 100; i++) {
+      queue.add(item(`urgent${i}`, `u${i}`, 0));
+      queue.add(item(`middle${i}`, `m${i}`, 1));
+      queue.add(item(`patient${i}`, `p${i}`, 2));
     }
     return queue;
   }
 
-  it('gives each priority that waits a tenth of the places', () => {
-    // Urgent work alone would fill the members. The patient kind goes on at
-    // one place of ten, which is enough for some of it to be in time.
-    const queue = makeCrowd();
+  it('gives each queued priority a tenth of the turns', () => {
+    // Urgent requests alone exceed the capacity.
+    const queue = makeFullQueue();
     queue.setMinShares(true);
     const served = drain(queue, 101);
     const countOf = (name: string) => {
@@ -117,19 +113,19 @@
     expect(countOf('urgent')).toBe(81);
   });
 
-  it('gives nothing of that away while urgent work takes all in its turn', () => {
-    const queue = makeCrowd();
+  it('serves urgent requests first within a share', () => {
+    const queue = makeFullQueue();
     queue.setMinShares(true);
     expect(drain(queue, 9).every(name => name.startsWith('urgent'))).toBe(true);
   });
 
-  it('is in strict order with the switch off', () => {
-    const served = drain(makeCrowd(), 100);
+  it('serves in strict priority order without minimum shares', () => {
+    const served = drain(makeFullQueue(), 100);
     expect(served.every(name => name.startsWith('urgent'))).toBe(true);
   });
 
-  it('passes a least part on where its priority cannot use the place', () => {
-    const queue = makeCrowd();
+  it('passes on the share of a priority that cannot use it', () => {
+    const queue = makeFullQueue();
     queue.setMinShares(true);
     const served: string[] = [];
     queue.offer(NOW, ({name, priority}) => {
--- a/src/services/admission/test/common/retry_pacer.test.ts
+++ b/src/services/admission/test/common/retry_pacer.test.ts
@@ -1,30 +1,29 @@
 import {describe, expect, it} from 'vitest';
 import {RetryPacer} from '../../common/retry_pacer';
 
-describe('times to come back', () => {
-  it('follow one another as fast as the queue drains', () => {
-    // Fifty callers are refused within one moment; all would come back after
-    // 200 ms to a queue that places one each 10 ms.
-    const returns = new RetryPacer();
-    const times = Array.from({length: 50}, () =>
-      returns.nextDelayMs(0, 200, 10),
+describe('RetryPacer', () => {
+  it('spreads retries at the drain rate of the queue', () => {
+    // All callers are refused at once and would return at once.
+    const pacer = new RetryPacer();
+    const delays = Array.from({length: 50}, () =>
+      pacer.nextDelayMs(0, 200, 10),
     );
-    expect(times[0]).toBe(200);
-    expect(times[49]).toBe(690);
-    expect(new Set(times).size).toBe(50);
+    expect(delays[0]).toBe(200);
+    expect(delays[49]).toBe(690);
+    expect(new Set(delays).size).toBe(50);
   });
 
-  it('keep nobody away for much longer than the queue needs', () => {
-    const returns = new RetryPacer();
-    const times = Array.from({length: 500}, () =>
-      returns.nextDelayMs(0, 200, 10),
+  it('bounds the additional delay', () => {
+    const pacer = new RetryPacer();
+    const delays = Array.from({length: 500}, () =>
+      pacer.nextDelayMs(0, 200, 10),
     );
-    expect(Math.max(...times)).toBeLessThanOrEqual(1_200);
+    expect(Math.max(...delays)).toBeLessThanOrEqual(1_200);
   });
 
-  it('begin anew once the others came back', () => {
-    const returns = new RetryPacer();
-    returns.nextDelayMs(0, 200, 10);
-    expect(returns.nextDelayMs(5_000, 100, 10)).toBe(100);
+  it('starts anew once earlier retries are over', () => {
+    const pacer = new RetryPacer();
+    pacer.nextDelayMs(0, 200, 10);
+    expect(pacer.nextDelayMs(5_000, 100, 10)).toBe(100);
   });
 });
--- a/src/services/admission/test/common/wait_budget.test.ts
+++ b/src/services/admission/test/common/wait_budget.test.ts
@@ -12,8 +12,8 @@
   return {service: 'books', priority, isTransaction: false};
 };
 
-/** A request that has just come, with a statement limit of 2.5 s. */
-const fresh = (objectiveMs: number) => {
+/** The inputs of a new request. */
+const newRequest = (objectiveMs: number) => {
   return {
     objectiveMs,
     statementTimeLeftMs: 2_500,
@@ -22,44 +22,41 @@
   };
 };
 
-describe('patience by class', () => {
-  it('is what the objective leaves after the work and the way', () => {
-    // A read that takes 100 ms of 1,000, and 40 ms for its way, is in time
-    // after a wait of 860; refused after 250 its caller comes again.
+describe('the wait budget by priority class', () => {
+  it('is what the objective leaves after the work and a round trip', () => {
     const classes = makeClasses();
     for (let count = 0; count < 100; count++) classes.onDidWork(kindOf(1), 100);
-    const patience = classes.waitBudgetMs(kindOf(1), fresh(1_000));
-    expect(patience).toBeGreaterThan(840);
-    expect(patience).toBeLessThanOrEqual(860);
+    const budgetMs = classes.waitBudgetMs(kindOf(1), newRequest(1_000));
+    expect(budgetMs).toBeGreaterThan(840);
+    expect(budgetMs).toBeLessThanOrEqual(860);
   });
 
-  it('is longest for the least urgent', () => {
+  it('is longest for the least urgent requests', () => {
     const classes = makeClasses();
     for (let count = 0; count < 100; count++) {
       for (const priority of [0, 1, 2]) classes.onDidWork(kindOf(priority), 40);
     }
-    const waits = [500, 1_000, 2_500].map((objective, priority) => {
-      return classes.waitBudgetMs(kindOf(priority), fresh(objective));
+    const budgets = [500, 1_000, 2_500].map((objective, priority) => {
+      return classes.waitBudgetMs(kindOf(priority), newRequest(objective));
     });
-    expect(waits).toEqual([...waits].sort((a, b) => a - b));
-    // Most of the statement's time is left for the work, and for another try.
-    expect(waits[2]).toBe(1_000);
+    expect(budgets).toEqual([...budgets].sort((a, b) => a - b));
+    // Most of the statement's time is left for the work and for a retry.
+    expect(budgets[2]).toBe(1_000);
   });
 
-  it('shrinks with work that varies', () => {
+  it('is shorter for work times that vary', () => {
     const classes = makeClasses();
     for (let count = 0; count < 100; count++) {
       classes.onDidWork(kindOf(1), count % 2 === 0 ? 20 : 180);
     }
-    const patience = classes.waitBudgetMs(kindOf(1), fresh(1_000));
-    expect(patience).toBeLessThan(1_000 - 180 - 40);
+    const budgetMs = classes.waitBudgetMs(kindOf(1), newRequest(1_000));
+    expect(budgetMs).toBeLessThan(1_000 - 180 - 40);
   });
 
-  it('leaves half of the objective to work of which nothing is known', () => {
-    // All machines had no power; everybody asks at once while connections
-    // open, some hundred milliseconds. Refused after a quarter, all of them
-    // come again.
+  it('leaves half of the objective to work of unknown duration', () => {
+    // After a common start, requests wait for connects. With the budget without
+    // classes, most of them would be refused and retried.
     const classes = makeClasses();
-    expect(classes.waitBudgetMs(kindOf(0), fresh(500))).toBe(210);
+    expect(classes.waitBudgetMs(kindOf(0), newRequest(500))).toBe(210);
   });
 });
