--- a/src/services/freshness/common/position_samples.ts
+++ b/src/services/freshness/common/position_samples.ts
@@ -5,18 +5,17 @@
   readonly position: Position;
 }
 
-/** Samples closer together than this are kept as one, in milliseconds. */
-const SPACING_MS = 40;
-/** Samples older than any bound of staleness in use, in milliseconds. */
-const KEEP_MS = 30_000;
+/** Of samples that are closer together, one is dropped. */
+const MIN_SPACING_MS = 40;
+/** Longer than any staleness bound of a route. */
+const MAX_AGE_MS = 30_000;
 
 /**
- * What a service's proven primary held, and when it was asked.
+ * The positions of a service's verified primary, with their request times.
  *
- * A commit acknowledged before the question is at or below the answer, since
- * the member proved after the question that it led. So a replica that holds a
- * sample is at least as new as the moment of its question, on this instance's
- * own clock; no clocks are compared.
+ * The member was verified to be primary after the request, so its reply covers
+ * every commit acknowledged before the request. A replica that holds the
+ * position is at least as new as the request, on this instance's clock alone.
  */
 export class PositionSamples {
   private samples: Sample[] = [];
@@ -26,18 +25,18 @@
     return this.samples.at(-1)?.position;
   }
 
-  /** When the newest sample was asked for; -Infinity without one. */
+  /** When the newest sample was requested; -Infinity without one. */
   get newestAskedAt(): number {
     return this.samples.at(-1)?.askedAt ?? -Infinity;
   }
 
-  /** Takes the answer of a member that proved to lead after `askedAt`. */
+  /** Adds the position of a member verified to be primary after `askedAt`. */
   add(askedAt: number, position: Position): void {
     const last = this.samples.at(-1);
     if (last && position.term < last.position.term) return;
     if (last && position.term > last.position.term) {
-      // A promotion may have rolled back numbers of the old term, and no
-      // replica would ever hold them.
+      // A promotion may have rolled back positions of the old term, which no
+      // replica would ever reach.
       this.samples = [];
     } else if (last && askedAt <= last.askedAt) {
       return;
@@ -47,8 +46,8 @@
   }
 
   /**
-   * The lowest known position that covers every commit acknowledged before a
-   * time; undefined where no sample is that new.
+   * Returns the lowest known position that covers every commit acknowledged
+   * before a moment; undefined if no sample is that new.
    */
   findCovering(time: number): Position | undefined {
     let low = 0;
@@ -62,15 +61,15 @@
   }
 
   /**
-   * How long ago, at the least, the primary went past a position, in ms; 0
-   * where the position is the newest that is known.
+   * The minimum time since the primary passed a position; 0 if no newer
+   * position is known.
    */
-  minLagMs(held: Position, now: number): number {
+  minLagMs(position: Position, now: number): number {
     const {samples} = this;
-    for (let at = samples.length - 1; at >= 0; at--) {
-      if (comparePositions(samples[at]!.position, held) > 0) continue;
-      const passedBy = samples[at + 1];
-      return passedBy ? now - passedBy.askedAt : 0;
+    for (let index = samples.length - 1; index >= 0; index--) {
+      if (comparePositions(samples[index]!.position, position) > 0) continue;
+      const next = samples[index + 1];
+      return next ? now - next.askedAt : 0;
     }
     return samples[0] ? now - samples[0].askedAt : 0;
   }
@@ -78,10 +77,11 @@
   private thin(now: number): void {
     const {samples} = this;
     const [third, second] = [samples.at(-3), samples.at(-2)];
-    if (third && second && second.askedAt - third.askedAt < SPACING_MS) {
-      const isUseful = comparePositions(third.position, second.position) === 0;
-      samples.splice(isUseful ? -3 : -2, 1);
+    if (third && second && second.askedAt - third.askedAt < MIN_SPACING_MS) {
+      const isSamePosition =
+        comparePositions(third.position, second.position) === 0;
+      samples.splice(isSamePosition ? -3 : -2, 1);
     }
-    while (samples[0] && samples[0].askedAt < now - KEEP_MS) samples.shift();
+    while (samples[0] && samples[0].askedAt < now - MAX_AGE_MS) samples.shift();
   }
 }
--- a/src/services/freshness/test/common/position_samples.test.ts
+++ b/src/services/freshness/test/common/position_samples.test.ts
@@ -3,8 +3,8 @@
 
 const at = (offset: number, term = 1) => ({term, offset});
 
-describe('samples of a primary', () => {
-  it('cover a time only from a question asked at or after it', () => {
+describe('PositionSamples', () => {
+  it('covers a moment only by a request sent at or after it', () => {
     const samples = new PositionSamples();
     samples.add(100, at(5));
     samples.add(200, at(9));
@@ -13,7 +13,7 @@
     expect(samples.findCovering(201)).toBeUndefined();
   });
 
-  it('keep covering times between samples that were thinned out', () => {
+  it('covers moments between samples that were dropped', () => {
     const samples = new PositionSamples();
     for (let time = 0; time <= 1_000; time += 10) samples.add(time, at(time));
     for (let time = 0; time < 1_000; time += 7) {
@@ -22,17 +22,16 @@
     }
   });
 
-  it('forget the old term, whose last numbers may be rolled back', () => {
-    // The old primary showed a commit that no replica had received. After the
-    // promotion no log will ever reach that number, and reads that asked for
-    // it would be turned away by every replica.
+  it('drops the old term, whose last positions may be rolled back', () => {
+    // No replica will ever reach a position that only the old primary had, and
+    // reads that require it would be rejected by all of them.
     const samples = new PositionSamples();
     samples.add(100, at(50, 1));
     samples.add(200, at(48, 2));
     expect(samples.findCovering(90)).toEqual(at(48, 2));
   });
 
-  it('do not take the word of a term that is over', () => {
+  it('ignores positions of an older term', () => {
     const samples = new PositionSamples();
     samples.add(100, at(48, 2));
     samples.add(200, at(60, 1));
