--- a/src/services/account/common/limit_allocator.ts
+++ b/src/services/account/common/limit_allocator.ts
@@ -13,7 +13,7 @@
 } from './permit_counting';
 import {NO_LIMIT_WINDOW, type LimitPrecision} from './limit_precision';
 import {LimitedAccount} from './limited_account';
-import {leaseEnd, ShareHolder, STRAY_MS} from './share_holder';
+import {leaseEnd, ShareHolder, STRAY_MS} from './tracked_counter';
 
 /**
  * The leader of control's part in limits: divides what each account may run
--- a/src/services/account/common/limited_account.ts
+++ b/src/services/account/common/limited_account.ts
@@ -1,8 +1,8 @@
 import type {AccountLimit} from '../../../schema/generated/fleet';
 import {sharedTerms, type LimitPrecision} from './limit_precision';
 import {divide} from './share_division';
-import type {ShareHolder} from './share_holder';
-import type {ShareHolding} from './share_holding';
+import type {ShareHolder} from './tracked_counter';
+import type {ShareHolding} from './tracked_share';
 import {
   greater,
   isChange,
@@ -11,7 +11,7 @@
   minus,
   NO_SHARE,
   plus,
-} from './share_terms';
+} from './rate_limit_math';
 import type {RateLimit} from './token_bucket';
 
 /** A share that differs by less than this part is not told anew. */
--- a/src/services/account/common/share_division.ts
+++ b/src/services/account/common/share_division.ts
@@ -1,5 +1,5 @@
 import {sumOf} from '../../../base/common/numbers';
-import {NO_SHARE} from './share_terms';
+import {NO_SHARE} from './rate_limit_math';
 import type {RateLimit} from './token_bucket';
 
 /**
--- a/src/services/account/common/share_holder.ts
+++ b/src/services/account/common/tracked_counter.ts
@@ -6,8 +6,8 @@
 } from '../../../schema/generated/fleet';
 import {DecayedRate} from './decayed_rate';
 import {PERMIT_VALID_MS} from './permit_bucket';
-import {ShareHolding} from './share_holding';
-import {NO_SHARE} from './share_terms';
+import {ShareHolding} from './tracked_share';
+import {NO_SHARE} from './rate_limit_math';
 import type {RateLimit} from './token_bucket';
 
 /**
--- a/src/services/account/common/share_holding.ts
+++ b/src/services/account/common/tracked_share.ts
@@ -1,5 +1,5 @@
 import {PERMIT_PART} from './permit_bucket';
-import {greater, NO_SHARE, plus} from './share_terms';
+import {greater, NO_SHARE, plus} from './rate_limit_math';
 import type {RateLimit} from './token_bucket';
 
 interface ToldShare {
--- a/src/services/account/node/account_limits.ts
+++ b/src/services/account/node/account_limits.ts
@@ -9,7 +9,7 @@
   PermitLookup,
   RefusedPermit,
 } from '../common/permit_counting';
-import {PermitQuestion} from '../common/permit_question';
+import {PermitQuestion} from '../common/refusal_tracker';
 import type {CounterClient} from './counter_directory';
 import type {OperationLimits, LimitRefusal} from './operation_limits';
 
--- a/src/services/account/test/common/held_permits.test.ts
+++ b/src/services/account/test/common/held_permits.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import type {PermitDecision} from '../../common/permit_counting';
 import {HeldPermits} from '../../common/held_permits';
-import {PermitQuestion} from '../../common/permit_question';
+import {PermitQuestion} from '../../common/refusal_tracker';
 
 const ACCOUNT = 'fern';
 
--- a/src/services/account/test/common/limit_chaos.test.ts
+++ b/src/services/account/test/common/limit_chaos.test.ts
@@ -2,7 +2,7 @@
 import {SeededRandom} from '../../../../base/common/random';
 import {SHARE_LEASE_MS, shareLeaseMs} from '../../common/permit_counting';
 import {LimitChaos} from './limit_chaos';
-import {LimitWorld} from './limit_world';
+import {LimitWorld} from './limit_simulation';
 
 /** The last one: a limit lowered and raised again around a change of leader. */
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 1208];
--- a/src/services/account/test/common/limit_chaos.ts
+++ b/src/services/account/test/common/limit_chaos.ts
@@ -2,7 +2,7 @@
 import type {AccountLimit} from '../../../../schema/generated/fleet';
 import {sharedTerms} from '../../common/limit_precision';
 import {PRECISION} from './limit_fleet';
-import {allowed, LimitWorld, type Callers} from './limit_world';
+import {allowed, LimitWorld, type Callers} from './limit_simulation';
 
 /**
  * A counter that is cut off keeps to a limit that was lowered meanwhile when
--- a/src/services/account/test/common/limit_fleet.ts
+++ b/src/services/account/test/common/limit_fleet.ts
@@ -6,7 +6,7 @@
 import {SHARE_LEASE_MS} from '../../common/permit_counting';
 import {AccountCounter} from '../../common/account_counter';
 import {LimitAllocator} from '../../common/limit_allocator';
-import {NO_SHARE, plus} from '../../common/share_terms';
+import {NO_SHARE, plus} from '../../common/rate_limit_math';
 import type {RateLimit} from '../../common/token_bucket';
 import {Way, type Timeline} from './limit_timeline';
 
--- a/src/services/account/test/common/limit_world.test.ts
+++ b/src/services/account/test/common/limit_simulation.test.ts
@@ -2,7 +2,7 @@
 import {SeededRandom} from '../../../../base/common/random';
 import type {AccountLimit} from '../../../../schema/generated/fleet';
 import {PRECISION} from './limit_fleet';
-import {allowed, LimitWorld} from './limit_world';
+import {allowed, LimitWorld} from './limit_simulation';
 
 const {windowMs: WINDOW_MS} = PRECISION;
 
--- a/src/services/account/test/common/limit_world.ts
+++ b/src/services/account/test/common/limit_simulation.ts
@@ -2,7 +2,7 @@
 import type {AccountLimit} from '../../../../schema/generated/fleet';
 import type {PermitDecision} from '../../common/permit_counting';
 import {HeldPermits} from '../../common/held_permits';
-import {PermitQuestion} from '../../common/permit_question';
+import {PermitQuestion} from '../../common/refusal_tracker';
 import {CountingFleet, PRECISION, type CountingNode} from './limit_fleet';
 import {Timeline} from './limit_timeline';
 
