--- a/src/services/account/common/account_counter.ts
+++ b/src/services/account/common/account_counter.ts
@@ -14,34 +14,34 @@
 import {PERMIT_VALID_MS, PermitBucket} from './permit_bucket';
 
 /**
- * Shares are dropped when the lease is over for so long, in milliseconds: less
- * than the margin after which control gives them to others.
+ * How long shares are kept after their lease expired. Shorter than the margin
+ * after which control grants them to other counters.
  */
-const DROP_AFTER_MS = 500;
+const SHARE_DROP_DELAY_MS = 500;
 /**
- * A list that came without a lease waits for one for this part of a lease's
- * time: control counts it as in use for longer.
+ * Shares that arrive without a lease are dropped after this fraction of a
+ * lease. Control counts them as in use for longer.
  */
-const AWAIT_LEASE_PART = 2 / 3;
+const LEASE_WAIT_FRACTION = 2 / 3;
 
-/** What this counter knows of one account. */
+/** The tokens and the use of one account at this counter. */
 class CountedAccount {
   run = 0;
   refused = 0;
-  /** The latest time that one who was refused was told. */
-  private promisedAt = -Infinity;
+  /** The latest retry time that was given to a refused caller. */
+  private lastRetryAt = -Infinity;
 
   constructor(readonly bucket: PermitBucket) {}
 
-  ask(wanted: number, now: number): PermitDecision {
+  requestPermits(wanted: number, now: number): PermitDecision {
     const decision = this.decide(wanted, now);
     if (decision.kind === 'granted') this.run += decision.count;
     else this.refused++;
     return decision;
   }
 
-  takeBack(count: number, now: number): void {
-    this.bucket.takeBack(count, now);
+  returnPermits(count: number, now: number): void {
+    this.bucket.returnPermits(count, now);
     const returned = Math.min(count, this.run);
     this.run -= returned;
     this.refused += returned;
@@ -56,118 +56,124 @@
     return {kind: 'granted', count: 1, validMs, waitMs: Math.ceil(waitMs)};
   }
 
-  /** Each one that is refused is told of a token of its own. */
+  /** Spreads retries out, so that each refused caller finds a token. */
   private refuse(now: number): PermitDecision {
-    const betweenMs = 1_000 / this.bucket.rateLimit.perSecond;
-    const firstAt = now + this.bucket.waitMs(now);
-    const at = Math.max(firstAt, this.promisedAt + betweenMs, now);
-    this.promisedAt = Math.min(at, now + MAX_RETRY_MS);
+    const intervalMs = 1_000 / this.bucket.rateLimit.perSecond;
+    const nextTokenAt = now + this.bucket.waitMs(now);
+    const retryAt = Math.max(nextTokenAt, this.lastRetryAt + intervalMs, now);
+    this.lastRetryAt = Math.min(retryAt, now + MAX_RETRY_MS);
     return {
       kind: 'refused',
-      retryAfterMs: Math.ceil(this.promisedAt - now),
+      retryAfterMs: Math.ceil(this.lastRetryAt - now),
     };
   }
 }
 
-/** A longer rest brings no more tokens, in milliseconds. */
-const MOST_IDLE_MS = 60_000;
+/** A longer idle time adds no tokens. */
+const MAX_IDLE_MS = 60_000;
 
 /**
- * Counts the operations of accounts for a region: grants what its shares allow,
- * and nothing once its lease on them is over.
+ * Counts the operations of accounts for a region. Grants what its shares allow,
+ * and nothing after its lease on them expired.
  */
 export class AccountCounter implements PermitCounter {
   private readonly accounts = new Map<string, CountedAccount>();
-  private limited: ReadonlySet<string> = new Set();
-  private number = 0;
-  private until: number;
-  private dropsAt: number;
-  private grantedAt: number;
+  private limitedAccounts: ReadonlySet<string> = new Set();
+  private listNumber = 0;
+  private leaseExpiresAt: number;
+  private dropSharesAt: number;
+  private lastGrantAt: number;
 
-  /** @param leaseMs How long shares hold after a question, in milliseconds. */
+  /** @param leaseMs How long shares are valid after a lease request. */
   constructor(
     private readonly clock: Clock,
     private readonly leaseMs = SHARE_LEASE_MS,
   ) {
-    this.until = clock.now();
-    this.dropsAt = this.until;
-    // Before its start this process granted nothing.
-    this.grantedAt = this.until;
+    this.leaseExpiresAt = clock.now();
+    this.dropSharesAt = this.leaseExpiresAt;
+    this.lastGrantAt = this.leaseExpiresAt;
   }
 
   setAccounts(entries: readonly AccountEntry[]): void {
     const limited = new Set<string>();
     for (const {account, limit} of entries) if (limit) limited.add(account);
-    // Shares may come ahead of the catalog that has their account.
-    for (const account of this.limited) {
+    // Shares may arrive before the catalog that has their account.
+    for (const account of this.limitedAccounts) {
       if (!limited.has(account)) this.accounts.delete(account);
     }
-    this.limited = limited;
+    this.limitedAccounts = limited;
   }
 
   setShares({shares, number}: AccountShares): void {
     const now = this.clock.now();
-    this.dropLapsed(now);
-    // Guard: what was dropped is told again from 1 on; a list of changes that
-    // was under way by then would leave accounts without a share.
-    if (number !== 1 && number !== this.number + 1) return;
-    this.number = number;
-    if (now >= this.until) {
-      this.dropsAt = Math.max(
-        this.dropsAt,
-        now + this.leaseMs * AWAIT_LEASE_PART,
+    this.dropExpired(now);
+    // Guard: after a drop control sends all shares again, numbered from 1. A
+    // late list of changes would leave the other accounts without a share.
+    if (number !== 1 && number !== this.listNumber + 1) return;
+    this.listNumber = number;
+    if (now >= this.leaseExpiresAt) {
+      this.dropSharesAt = Math.max(
+        this.dropSharesAt,
+        now + this.leaseMs * LEASE_WAIT_FRACTION,
       );
     }
     for (const share of shares) this.setShare(share, now);
   }
 
-  extendLease(askedAt: number): void {
-    this.dropLapsed(this.clock.now());
-    this.until = Math.max(this.until, askedAt + this.leaseMs);
-    this.dropsAt = Math.max(this.dropsAt, this.until + DROP_AFTER_MS);
+  extendLease(requestedAt: number): void {
+    this.dropExpired(this.clock.now());
+    this.leaseExpiresAt = Math.max(
+      this.leaseExpiresAt,
+      requestedAt + this.leaseMs,
+    );
+    this.dropSharesAt = Math.max(
+      this.dropSharesAt,
+      this.leaseExpiresAt + SHARE_DROP_DELAY_MS,
+    );
   }
 
   onDidDetach(): void {
-    this.number = 0;
+    this.listNumber = 0;
   }
 
   get heldShares(): AccountShare[] {
     const now = this.clock.now();
-    // Guard: control frees at once what is not named here. Shares whose lease
-    // is over must not come back with the next one.
-    if (now >= this.until) this.drop();
+    // Guard: control reassigns shares that are not reported here at once, so
+    // shares whose lease expired must not return to use with the next lease.
+    if (now >= this.leaseExpiresAt) this.dropShares();
     return [...this.accounts].map(([account, {bucket}]) => {
       return {account, ...bucket.rateLimit, tokens: 0};
     });
   }
 
   /**
-   * Guard: it goes out as a count. One below 0, while an operation waits for
-   * its token, cannot be written and ended the process at its next greeting.
+   * Guard: the value is sent as an unsigned integer. While an operation waits
+   * for its token the last grant is in the future, and a negative value would
+   * end the process when it connects to control.
    */
   get idleMs(): number {
-    const idleMs = this.clock.now() - this.grantedAt;
-    return Math.floor(Math.min(Math.max(0, idleMs), MOST_IDLE_MS));
+    const idleMs = this.clock.now() - this.lastGrantAt;
+    return Math.floor(Math.min(Math.max(0, idleMs), MAX_IDLE_MS));
   }
 
   get shareListNumber(): number {
-    this.dropLapsed(this.clock.now());
-    return this.number;
+    this.dropExpired(this.clock.now());
+    return this.listNumber;
   }
 
   requestPermits(name: string, wanted: number): PermitDecision {
     const now = this.clock.now();
-    // Guard: control gives these shares to others after the lease.
-    if (now >= this.until) return {kind: 'unknown account'};
+    // Guard: control grants these shares to others after the lease.
+    if (now >= this.leaseExpiresAt) return {kind: 'unknown account'};
     const account = this.accounts.get(name);
     if (!account || !canRun(account)) return {kind: 'unknown account'};
-    const decision = account.ask(wanted, now);
-    if (decision.kind === 'granted') this.grantedAt = now + decision.waitMs;
+    const decision = account.requestPermits(wanted, now);
+    if (decision.kind === 'granted') this.lastGrantAt = now + decision.waitMs;
     return decision;
   }
 
   returnPermits(name: string, count: number): void {
-    this.accounts.get(name)?.takeBack(count, this.clock.now());
+    this.accounts.get(name)?.returnPermits(count, this.clock.now());
   }
 
   takeReport(): AccountUse[] {
@@ -184,21 +190,21 @@
 
   private setShare(share: AccountShare, now: number): void {
     const {account, perSecond, depth, tokens} = share;
-    const terms = {perSecond, depth};
+    const rateLimit = {perSecond, depth};
     const known = this.accounts.get(account);
-    const bucket = known?.bucket ?? new PermitBucket(terms, now);
-    if (known) bucket.setRateLimit(terms, now);
+    const bucket = known?.bucket ?? new PermitBucket(rateLimit, now);
+    if (known) bucket.setRateLimit(rateLimit, now);
     else this.accounts.set(account, new CountedAccount(bucket));
     if (tokens > 0) bucket.add(tokens, now);
   }
 
-  private dropLapsed(now: number): void {
-    if (now >= this.dropsAt) this.drop();
+  private dropExpired(now: number): void {
+    if (now >= this.dropSharesAt) this.dropShares();
   }
 
-  private drop(): void {
+  private dropShares(): void {
     this.accounts.clear();
-    this.number = 0;
+    this.listNumber = 0;
   }
 }
 
--- a/src/services/account/common/account_index.ts
+++ b/src/services/account/common/account_index.ts
@@ -1,6 +1,6 @@
 import type {AccountEntry} from '../../../schema/generated/fleet';
 
-/** The accounts of one catalog, by the digests of their keys. */
+/** Finds the accounts of one catalog by the digests of their keys. */
 export class AccountIndex {
   private readonly byDigest: ReadonlyMap<string, AccountEntry>;
 
@@ -12,7 +12,6 @@
     );
   }
 
-  /** The account that holds a key; undefined where none does. */
   findByDigest(digest: string): AccountEntry | undefined {
     return this.byDigest.get(digest);
   }
--- a/src/services/account/common/catalog_lease.ts
+++ b/src/services/account/common/catalog_lease.ts
@@ -1,49 +1,43 @@
 import type {Clock} from '../../../base/common/clock';
 
 /**
- * The part of the time in which a withdrawn key has to be out of use for which a
- * proxy relies on what control last confirmed. Above the part after which
- * nothing is owed to callers of an instance that is cut off (0.6) and one more
- * renewal, so that short losses of control cost nobody anything; the rest is
- * for clocks that drift and for what was read late.
+ * How long a confirmation by control is valid, as a fraction of the time in
+ * which a withdrawn key has to be out of use. Long enough that a short loss of
+ * control refuses no caller; the rest allows for clock drift and late reads.
  */
-const LEASE_PART = 0.8;
+const LEASE_FRACTION = 0.8;
 
 /**
- * A proxy's lease on the catalog that it holds.
+ * A proxy's lease on its catalog, needed to serve requests with keys.
  *
- * Guard: a proxy that is cut off from control, frozen, or follows a deposed
- * leader never hears that a key was withdrawn, and would serve its holder for
- * as long as that lasts. The lease is counted from a question to control, on a
- * clock that counts suspensions, and extended only where a majority confirmed
- * the leader after it and this proxy holds the newest catalog by then. So no
- * request that comes later than the bound after an acknowledged withdrawal
- * meets a lease that began before the withdrawal.
+ * Guard: a frozen or disconnected proxy, or one that follows a deposed leader,
+ * would serve withdrawn keys. The lease runs from the request that a majority
+ * confirmed, so one from before a withdrawal has expired by the bound.
  */
 export class CatalogLease {
-  private until = -Infinity;
+  private expiresAt = -Infinity;
 
   /**
-   * @param boundMs How long after its withdrawal a key may be in use, in
-   *     milliseconds; 0 where control's word is not waited for.
+   * @param revocationMs How long a key may be in use after its withdrawal, in
+   *     milliseconds; 0 where there is no bound and no lease is needed.
    */
   constructor(
-    private readonly boundMs: number,
+    private readonly revocationMs: number,
     private readonly clock: Clock,
   ) {}
 
-  /** Takes a majority's confirmation of a question asked at a time. */
-  extendLease(askedAt: number): void {
-    const end = askedAt + this.boundMs * LEASE_PART;
-    this.until = Math.max(this.until, end);
+  /** Records that a majority confirmed a request that was sent at a time. */
+  extendLease(requestedAt: number): void {
+    const end = requestedAt + this.revocationMs * LEASE_FRACTION;
+    this.expiresAt = Math.max(this.expiresAt, end);
   }
 
-  /** How long it has been over, in milliseconds; below 0 while it is held. */
+  /** Time since it expired, in milliseconds; below 0 while it is held. */
   get expiredForMs(): number {
-    return this.clock.now() - this.until;
+    return this.clock.now() - this.expiresAt;
   }
 
   get isHeld(): boolean {
-    return this.boundMs === 0 || this.expiredForMs < 0;
+    return this.revocationMs === 0 || this.expiredForMs < 0;
   }
 }
--- a/src/services/account/common/counter_choice.ts
+++ b/src/services/account/common/counter_choice.ts
@@ -1,76 +1,75 @@
 import {hashOf} from '../../../base/common/hash';
 import type {CounterEntry} from '../../../schema/generated/fleet';
 
-/** Where a proxy is, to find the counters near it. */
+/** The site of a proxy, by which it finds the counters of its region. */
 export interface ProxyRegion {
   readonly site: string;
   regionOf(site: string): string;
 }
 
-/** What a proxy knows of a counter. */
+/** Whether a counter can get requests for permits. */
 export type CounterState =
-  /** It is this proxy. */
-  | 'here'
+  /** The counter is in this process. */
+  | 'local'
   | 'ready'
-  /** A link to it is being opened. */
+  /** The link to it is being opened. */
   | 'connecting'
-  /** It did not answer a question in time, and nothing was heard since. */
-  | 'silent'
+  /** A request timed out and nothing was received since. */
+  | 'unresponsive'
   | 'closed';
 
 /**
- * The order in which a proxy asks counters about an account: those of its
- * region by rendezvous hashing, so that all its proxies ask the same one first,
- * then others. One that is retiring may still have something to give and comes
- * last.
+ * Orders counters as a proxy tries them for an account. Rendezvous hashing
+ * makes all proxies of a region try the same one first. Counters of other
+ * regions follow, and retiring ones, which may still hold shares, are last.
  */
 export function rankCounters(
   counters: readonly CounterEntry[],
   account: string,
   {site, regionOf}: ProxyRegion,
 ): CounterEntry[] {
-  const own = regionOf(site);
+  const ownRegion = regionOf(site);
   const ranked = counters.map(entry => ({
     entry,
-    group: groupOf(entry, own, regionOf),
+    group: groupOf(entry, ownRegion, regionOf),
     hash: hashOf(`${account} ${entry.instance}`),
   }));
   ranked.sort((a, b) => a.group - b.group || a.hash - b.hash);
   return ranked.map(({entry}) => entry);
 }
 
-/** What is asked for when a counter is chosen. */
+/** How a counter is chosen for one request. */
 export interface CounterChoiceOptions {
-  /** Those that gave no decision. */
+  /** Instances that were tried and made no decision. */
   readonly excluded: ReadonlySet<string>;
-  /** Whether a link that is being opened is worth waiting for. */
+  /** Whether the request can wait for a link that is being opened. */
   readonly canWaitForLink: boolean;
 }
 
 /**
- * The counter that is asked next; 'soon' where a link to it is being opened,
- * and undefined where none can be asked. Looks at states in order and no
- * further than it has to: a look opens a link.
+ * Returns the counter to try next, 'connecting' to wait for the link to it, or
+ * undefined where none is available. Reads no more states than needed, because
+ * reading a state opens a link.
  */
 export function chooseCounter(
   ranked: readonly CounterEntry[],
   stateOf: (entry: CounterEntry) => CounterState,
-  {excluded: passed, canWaitForLink: mayWait}: CounterChoiceOptions,
-): CounterEntry | 'soon' | undefined {
+  {excluded, canWaitForLink}: CounterChoiceOptions,
+): CounterEntry | 'connecting' | undefined {
   for (const entry of ranked) {
-    if (passed.has(entry.instance)) continue;
+    if (excluded.has(entry.instance)) continue;
     const state = stateOf(entry);
-    if (state === 'here' || state === 'ready') return entry;
-    if (state === 'connecting' && mayWait) return 'soon';
+    if (state === 'local' || state === 'ready') return entry;
+    if (state === 'connecting' && canWaitForLink) return 'connecting';
   }
   return undefined;
 }
 
 function groupOf(
   {site, retiring}: CounterEntry,
-  own: string,
+  ownRegion: string,
   regionOf: (site: string) => string,
 ): number {
   if (retiring) return 2;
-  return regionOf(site) === own ? 0 : 1;
+  return regionOf(site) === ownRegion ? 0 : 1;
 }
--- a/src/services/account/common/decayed_rate.ts
+++ b/src/services/account/common/decayed_rate.ts
@@ -1,13 +1,12 @@
-/** Usually events are forgotten with this time constant, in milliseconds. */
-const MEMORY_MS = 2_000;
+const DEFAULT_TIME_CONSTANT_MS = 2_000;
 
-/** A rate of events, smoothed over the last seconds. */
+/** An exponentially smoothed rate of events. */
 export class DecayedRate {
   private weight = 0;
 
   constructor(
-    private at: number,
-    private readonly memoryMs = MEMORY_MS,
+    private updatedAt: number,
+    private readonly timeConstantMs = DEFAULT_TIME_CONSTANT_MS,
   ) {}
 
   add(count: number, now: number): void {
@@ -15,15 +14,14 @@
     this.weight += count;
   }
 
-  /** Events a second. */
   perSecond(now: number): number {
     this.decay(now);
-    return (this.weight / this.memoryMs) * 1_000;
+    return (this.weight / this.timeConstantMs) * 1_000;
   }
 
   private decay(now: number): void {
-    const passed = Math.max(0, now - this.at);
-    this.weight *= Math.exp(-passed / this.memoryMs);
-    this.at = now;
+    const elapsedMs = Math.max(0, now - this.updatedAt);
+    this.weight *= Math.exp(-elapsedMs / this.timeConstantMs);
+    this.updatedAt = now;
   }
 }
--- a/src/services/account/common/limit_allocator.ts
+++ b/src/services/account/common/limit_allocator.ts
@@ -13,46 +13,51 @@
 } from './permit_counting';
 import {NO_LIMIT_WINDOW, type LimitPrecision} from './limit_precision';
 import {LimitedAccount} from './limited_account';
-import {leaseEnd, ShareHolder, STRAY_MS} from './tracked_counter';
+import {
+  leaseEnd,
+  OUTSTANDING_PERMITS_MS,
+  TrackedCounter,
+} from './tracked_counter';
 
 /**
- * The leader of control's part in limits: divides what each account may run
- * among the counters, by what they are asked for.
+ * Divides the limits of accounts among the counters by demand, in one term of a
+ * control leader.
  *
- * Shares of an account never add up to more than its limit. A share is lowered
- * first, and another raised once the counter keeps to less, or its lease ended.
+ * The shares of an account never add up to more than its limit. One share is
+ * lowered first, and another raised once the counter confirmed the lower one or
+ * its lease expired.
  */
 export class LimitAllocator implements ShareAllocator {
   private readonly accounts = new Map<string, LimitedAccount>();
-  /** All proxies that came, and counters that did not. */
-  private readonly holders = new Map<string, ShareHolder>();
-  private listed: ReadonlySet<string> = new Set();
-  /** Those that are listed or may hold shares. */
-  private active: readonly ShareHolder[] = [];
+  /** All proxies that attached, and listed counters that did not. */
+  private readonly counters = new Map<string, TrackedCounter>();
+  private listedNames: ReadonlySet<string> = new Set();
+  /** Counters that are listed or may hold shares. */
+  private active: readonly TrackedCounter[] = [];
   /** When a majority last confirmed this leader. */
   private confirmedAt: number;
-  private wasUnknown = false;
-  /** Whether any share was told in this leadership. */
-  private hasTold = false;
-  /** Since when counters hold nothing, by their names. */
-  private readonly freeSince = new Map<string, number>();
+  private hadUnknown = false;
+  /** Whether any share was sent in this term. */
+  private hasSentShares = false;
+  /** When counters were first seen without shares, by name. */
+  private readonly emptiedAt = new Map<string, number>();
 
   /**
-   * @param since When this leadership began.
-   * @param leaseMs How long shares hold after a counter's question.
+   * @param beganAt When this leader's term began.
+   * @param leaseMs How long shares are valid after a counter's request.
    */
   constructor(
-    private readonly since: number,
+    private readonly beganAt: number,
     private readonly precision: LimitPrecision = NO_LIMIT_WINDOW,
     private readonly leaseMs = SHARE_LEASE_MS,
   ) {
-    this.confirmedAt = since;
+    this.confirmedAt = beganAt;
   }
 
   setAccounts(entries: readonly AccountEntry[], now: number): void {
     const limits = new Map(entries.map(({account, limit}) => [account, limit]));
     for (const account of this.accounts.keys()) {
-      if (!limits.get(account)) this.drop(account, now);
+      if (!limits.get(account)) this.removeAccount(account, now);
     }
     for (const [account, limit] of limits) {
       if (limit) this.setLimit(account, limit, now);
@@ -61,116 +66,116 @@
 
   setCounters(entries: readonly CounterEntry[], now: number): void {
     const byName = new Map(entries.map(entry => [entry.instance, entry]));
-    this.listed = new Set(byName.keys());
-    for (const name of byName.keys()) this.holderOf(name);
-    for (const [name, holder] of this.holders) {
-      holder.place(byName.get(name), now);
-      const isGone = !byName.has(name) && !holder.isHeard(now);
-      if (isGone && holder.holdsNothing(now)) this.holders.delete(name);
+    this.listedNames = new Set(byName.keys());
+    for (const name of byName.keys()) this.counterOf(name);
+    for (const [name, counter] of this.counters) {
+      counter.setEntry(byName.get(name), now);
+      const isGone = !byName.has(name) && !counter.isResponsive(now);
+      if (isGone && counter.isEmpty(now)) this.counters.delete(name);
     }
     this.refresh(now);
   }
 
   onDidAttach(
-    counter: string,
+    name: string,
     shares: readonly AccountShare[],
-    idleSince: number,
+    lastGrantAt: number,
     now: number,
   ): void {
-    const holder = this.holderOf(counter);
-    const wasUnknown = this.listed.has(counter) && !holder.isAttached;
-    holder.attach(shares, idleSince, now);
-    if (wasUnknown) this.learn(shares);
-    const isCounter = this.listed.has(counter) || !holder.holdsNothing(now);
+    const counter = this.counterOf(name);
+    const wasUnknown = this.listedNames.has(name) && !counter.isAttached;
+    counter.attach(shares, lastGrantAt, now);
+    if (wasUnknown) this.releaseShares(shares);
+    const isCounter = this.listedNames.has(name) || !counter.isEmpty(now);
     if (isCounter) this.refresh(now);
   }
 
   report(
-    counter: string,
+    name: string,
     uses: readonly AccountUse[],
-    sharesNumber: number,
+    shareListNumber: number,
     now: number,
   ): void {
-    this.holders.get(counter)?.report(uses, sharesNumber, now);
+    this.counters.get(name)?.report(uses, shareListNumber, now);
   }
 
-  renewLease(counter: string, now: number): void {
+  renewLease(name: string, now: number): void {
     this.confirmedAt = Math.max(this.confirmedAt, now);
-    this.holders.get(counter)?.renew(now);
-    this.expire(now);
+    this.counters.get(name)?.renewLease(now);
+    this.expireLeases(now);
   }
 
-  takeChangedShares(counter: string, now: number): AccountShares | undefined {
-    const holder = this.holders.get(counter);
-    if (!holder || !this.active.includes(holder)) return undefined;
-    // Guard: what is told to a counter that hears nothing would count as in use
-    // when it comes again with less, and for a lease longer.
-    if (!holder.isAttached || !holder.isHeard(now)) return undefined;
-    this.begin(now);
+  takeChangedShares(name: string, now: number): AccountShares | undefined {
+    const counter = this.counters.get(name);
+    if (!counter || !this.active.includes(counter)) return undefined;
+    // Guard: shares sent to an unresponsive counter would count as in use for
+    // another lease when it attaches again with less.
+    if (!counter.isAttached || !counter.isResponsive(now)) return undefined;
+    this.grantInitialTokens(now);
     const shares: AccountShare[] = [];
-    for (const [name, account] of this.accounts) {
-      const terms = account.newsFor(holder, this.active, now);
-      if (!terms) continue;
-      const tokens = account.takeFirstTokens(holder, terms.depth);
-      shares.push({account: name, ...terms, tokens});
+    for (const [accountName, account] of this.accounts) {
+      const share = account.changeFor(counter, this.active, now);
+      if (!share) continue;
+      const tokens = account.takeInitialTokens(counter, share.depth);
+      shares.push({account: accountName, ...share, tokens});
     }
     if (shares.length === 0) return undefined;
-    this.hasTold ||= shares.some(({perSecond}) => perSecond > 0);
-    return holder.tell(shares);
+    this.hasSentShares ||= shares.some(({perSecond}) => perSecond > 0);
+    return counter.recordList(shares);
   }
 
   updateNearLimit(now: number): NearLimitChange[] {
     const changed: NearLimitChange[] = [];
     for (const [account, state] of this.accounts) {
       const demand = this.demandOf(account, now);
-      if (!state.judge(demand)) continue;
-      const {isLimited, terms} = state;
-      const counters = this.active.filter(holder => {
-        return holder.most(account, now).perSecond > 0;
+      if (!state.updateNearLimit(demand)) continue;
+      const {isNearLimit, rateLimit} = state;
+      const counters = this.active.filter(counter => {
+        return counter.maxInUse(account, now).perSecond > 0;
       }).length;
       const rounded = Math.round(demand);
       changed.push({
         account,
-        isNearLimit: isLimited,
+        isNearLimit,
         demand: rounded,
-        rateLimit: terms,
+        rateLimit,
         counters,
       });
     }
     return changed;
   }
 
-  canRemove(counter: string, now: number): boolean {
-    if (!this.isEmpty(counter, now)) {
-      this.freeSince.delete(counter);
+  canRemove(name: string, now: number): boolean {
+    if (!this.isEmpty(name, now)) {
+      this.emptiedAt.delete(name);
       return false;
     }
-    const since = this.freeSince.get(counter) ?? now;
-    this.freeSince.set(counter, since);
-    // Guard: after a common restart only those in the list are known to have
-    // granted nothing of late; one that left it must not have either.
-    return now - since >= this.precision.windowMs;
+    const emptiedAt = this.emptiedAt.get(name) ?? now;
+    this.emptiedAt.set(name, emptiedAt);
+    // Guard: after a restart of the fleet, initial tokens are based on the idle
+    // times of listed counters. One removed earlier may have granted permits
+    // within the window, and the account would exceed its limit.
+    return now - emptiedAt >= this.precision.windowMs;
   }
 
-  private isEmpty(counter: string, now: number): boolean {
-    const holder = this.holders.get(counter);
-    if (!holder?.isAttached) return !this.hasUnknown;
-    return holder.holdsNothing(now);
+  private isEmpty(name: string, now: number): boolean {
+    const counter = this.counters.get(name);
+    if (!counter?.isAttached) return !this.hasUnknown;
+    return counter.isEmpty(now);
   }
 
   /**
-   * Gives accounts tokens to begin with, where all counters started anew: what
-   * would have come since the last of them granted anything. Guard: with empty
-   * buckets a fleet that restarts as one refuses operations of accounts far
-   * below their limits.
+   * Adds the tokens of the idle time where all counters started without shares.
+   * Guard: with empty buckets, a fleet that restarts as a whole would refuse
+   * operations of accounts far below their limits.
    */
-  private begin(now: number): void {
-    if (this.hasTold || this.hasUnknown) return;
-    const counters = this.listedHolders;
+  private grantInitialTokens(now: number): void {
+    if (this.hasSentShares || this.hasUnknown) return;
+    const counters = this.listedCounters;
     if (counters.some(one => !one.isAttached || one.hadShares)) return;
-    const idleSince = Math.max(...counters.map(one => one.idleSince));
-    const idleMs = now - idleSince - STRAY_MS;
-    for (const account of this.accounts.values()) account.begin(idleMs);
+    const lastGrantAt = Math.max(...counters.map(one => one.lastGrantAt));
+    const idleMs = now - lastGrantAt - OUTSTANDING_PERMITS_MS;
+    for (const one of this.accounts.values()) one.setInitialTokens(idleMs);
   }
 
   private setLimit(name: string, limit: AccountLimit, now: number): void {
@@ -178,81 +183,79 @@
     if (known) return known.setLimit(limit);
     const account = new LimitedAccount(name, limit, this.precision);
     this.accounts.set(name, account);
-    if (this.hasUnknown) account.withhold(this.active, now);
+    if (this.hasUnknown) account.reserve(this.active, now);
   }
 
-  private drop(account: string, now: number): void {
+  private removeAccount(account: string, now: number): void {
     this.accounts.delete(account);
-    for (const holder of this.holders.values()) holder.forget(account, now);
+    for (const one of this.counters.values()) one.removeAccount(account, now);
   }
 
-  /**
-   * Whether a counter may hold shares of an earlier leader's that this one does
-   * not know.
-   */
+  /** Whether a counter may hold shares of an earlier leader, not known here. */
   private get hasUnknown(): boolean {
-    if (this.confirmedAt >= leaseEnd(this.since, this.leaseMs)) return false;
-    const counters = this.listedHolders;
+    if (this.confirmedAt >= leaseEnd(this.beganAt, this.leaseMs)) return false;
+    const counters = this.listedCounters;
     if (counters.some(({isAttached}) => !isAttached)) return true;
-    // One that lost its shares may have permits out. Where all lost theirs, no
-    // leader was there for longer than permits last.
-    const isFresh = counters.some(one => one.isFresh(this.confirmedAt));
-    return isFresh && counters.some(({hadShares}) => hadShares);
+    // A counter that lost its shares may have outstanding permits. If all lost
+    // theirs, there was no leader for longer than permits are valid.
+    const mayHavePermits = counters.some(one =>
+      one.mayHaveOutstandingPermits(this.confirmedAt),
+    );
+    return mayHavePermits && counters.some(({hadShares}) => hadShares);
   }
 
-  private get listedHolders(): ShareHolder[] {
-    return [...this.listed].map(name => this.holders.get(name)!);
+  private get listedCounters(): TrackedCounter[] {
+    return [...this.listedNames].map(name => this.counters.get(name)!);
   }
 
-  /** What a counter that came holds is unknown no more. */
-  private learn(shares: readonly AccountShare[]): void {
+  private releaseShares(shares: readonly AccountShare[]): void {
     for (const share of shares) {
       this.accounts.get(share.account)?.release(share);
     }
   }
 
-  /** Counters or their places changed. */
+  /** Follows a change of the counters or of their shares. */
   private refresh(now: number): void {
-    const holders = [...this.holders];
-    this.active = holders
-      .filter(([name, holder]) => {
-        return this.listed.has(name) || !holder.holdsNothing(now);
+    const counters = [...this.counters];
+    this.active = counters
+      .filter(([name, counter]) => {
+        return this.listedNames.has(name) || !counter.isEmpty(now);
       })
-      .map(([, holder]) => holder);
+      .map(([, counter]) => counter);
     const isUnknown = this.hasUnknown;
     for (const account of this.accounts.values()) {
-      account.replan();
-      // Guard: shares that an earlier leader gave are in use until their lease
-      // ends. Given away meanwhile they would be in use twice.
-      if (isUnknown && !this.wasUnknown) account.withhold(this.active, now);
+      account.invalidatePlan();
+      // Guard: shares of an earlier leader stay in use until their lease
+      // expires. Granted to others before, they would be in use twice.
+      if (isUnknown && !this.hadUnknown) account.reserve(this.active, now);
       if (!isUnknown) account.releaseAll();
     }
-    this.wasUnknown = isUnknown;
+    this.hadUnknown = isUnknown;
   }
 
   /**
-   * Frees what counters held whose lease is over. Guard: at the time of the
-   * last confirmation and not by the clock; a leader that was deposed without
-   * knowing it would give away what its successor left to a counter.
+   * Frees the shares of counters whose lease expired. Guard: as of the last
+   * confirmation and not of now. A deposed leader that does not know it would
+   * grant others what its successor left to a counter.
    */
-  private expire(now: number): void {
-    let isChanged = this.wasUnknown && !this.hasUnknown;
-    for (const holder of this.active) {
-      if (holder.expire(this.confirmedAt, now)) isChanged = true;
+  private expireLeases(now: number): void {
+    let isChanged = this.hadUnknown && !this.hasUnknown;
+    for (const counter of this.active) {
+      if (counter.expireLease(this.confirmedAt, now)) isChanged = true;
     }
     if (isChanged) this.refresh(now);
   }
 
   private demandOf(account: string, now: number): number {
     let sum = 0;
-    for (const holder of this.active) sum += holder.demand(account, now);
+    for (const counter of this.active) sum += counter.demandOf(account, now);
     return sum;
   }
 
-  private holderOf(name: string): ShareHolder {
-    const known = this.holders.get(name);
-    const holder = known ?? new ShareHolder(this.leaseMs);
-    this.holders.set(name, holder);
-    return holder;
+  private counterOf(name: string): TrackedCounter {
+    const known = this.counters.get(name);
+    const counter = known ?? new TrackedCounter(this.leaseMs);
+    this.counters.set(name, counter);
+    return counter;
   }
 }
--- a/src/services/account/common/limit_precision.ts
+++ b/src/services/account/common/limit_precision.ts
@@ -1,38 +1,36 @@
 import type {AccountLimit} from '../../../schema/generated/fleet';
 import type {RateLimit} from './token_bucket';
 
-/** How exactly limits of accounts have to be kept, over all instances. */
+/** How far an account may exceed its limit, over all instances. */
 export interface LimitPrecision {
   /**
-   * Spans of this length count, in milliseconds: what an account may run in one
-   * is its rate for so long, and its burst. 0 where any span counts.
+   * Length of the window in which operations are counted, in milliseconds; 0
+   * to apply limits as plain token buckets. The limit of a window is the rate
+   * times its length, and the burst.
    */
   readonly windowMs: number;
-  /** The part by which what runs in a span may exceed that. */
+  /** The fraction by which a window may exceed its limit. */
   readonly excess: number;
-  /** Operations that may run besides. */
+  /** Operations that may run in a window on top of that. */
   readonly slack: number;
 }
 
-/** Where nothing is said, limits are kept as token buckets. */
+/** Limits are applied as token buckets of their rate and burst. */
 export const NO_LIMIT_WINDOW: LimitPrecision = {
   windowMs: 0,
   excess: 0,
   slack: 0,
 };
 
-/**
- * How much later than it was granted an operation may run, in milliseconds: a
- * way, and its turn at a pooler.
- */
-const RUN_LATER_MS = 50;
+/** An operation may run later than its permit: network and pooler queue. */
+const MAX_RUN_DELAY_MS = 50;
 
 /**
- * What all counters of an account together may hold. In any span as many
- * operations run as tokens came in it, and the depth: what waited in buckets
- * and which permits were out when it began.
+ * Returns the rate and depth that all counters of an account may have together.
+ * In any window, the operations that run are at most the tokens added in it and
+ * the depth, which bounds stored tokens and outstanding permits.
  */
-export function sharedTerms(
+export function totalRateLimit(
   {perSecond: rate, burst}: AccountLimit,
   {windowMs, excess, slack}: LimitPrecision,
 ): RateLimit {
@@ -40,7 +38,7 @@
   const seconds = windowMs / 1_000;
   const inWindow = rate * seconds + burst;
   const perSecond = inWindow / seconds;
-  const beyond = inWindow * excess + slack;
-  const depth = beyond - (perSecond * RUN_LATER_MS) / 1_000;
+  const allowedExcess = inWindow * excess + slack;
+  const depth = allowedExcess - (perSecond * MAX_RUN_DELAY_MS) / 1_000;
   return {perSecond, depth: Math.max(1, depth)};
 }
--- a/src/services/account/common/limited_account.ts
+++ b/src/services/account/common/limited_account.ts
@@ -1,218 +1,225 @@
 import type {AccountLimit} from '../../../schema/generated/fleet';
-import {sharedTerms, type LimitPrecision} from './limit_precision';
-import {divide} from './share_division';
-import type {ShareHolder} from './tracked_counter';
-import type {ShareHolding} from './tracked_share';
+import {totalRateLimit, type LimitPrecision} from './limit_precision';
 import {
-  greater,
-  isChange,
+  add,
+  hasChanged,
   isSame,
-  lesser,
-  minus,
+  max,
+  min,
   NO_SHARE,
-  plus,
+  subtract,
 } from './rate_limit_math';
+import {divideShares} from './share_division';
 import type {RateLimit} from './token_bucket';
-
-/** A share that differs by less than this part is not told anew. */
-const SHARE_CHANGE_PART = 0.2;
-/** How long shares that were worked out count, in milliseconds. */
-const PLAN_MS = 50;
-/** An account is close to its limit from this part of it on... */
-const CLOSE_PART = 0.95;
-/** ...and has room again below this one. */
-const ROOM_PART = 0.85;
-
-/** What counters have of a limit while not all came to this leader. */
-interface WithheldShares {
-  /** What those had that came. */
+import type {TrackedCounter} from './tracked_counter';
+import type {TrackedShare} from './tracked_share';
+
+/** A smaller change of a share is not sent. */
+const MIN_SHARE_CHANGE_FRACTION = 0.2;
+const PLAN_VALID_MS = 50;
+/** Two thresholds, so that a steady demand does not switch back and forth. */
+const NEAR_LIMIT_FRACTION = 0.95;
+const BELOW_LIMIT_FRACTION = 0.85;
+
+/** The division of a limit while not all counters attached to this leader. */
+interface ReservedShares {
+  /** What the attached counters held. */
   readonly known: RateLimit;
-  /** What is left of the limit, for those that did not come. */
+  /** The rest of the limit, which the others may hold. */
   readonly unknown: RateLimit;
 }
 
-/** An account with a limit, and how the limit is divided. */
+/** An account with a limit, and how the limit is divided among counters. */
 export class LimitedAccount {
-  terms: RateLimit;
-  isLimited = false;
+  rateLimit: RateLimit;
+  isNearLimit = false;
   /** Set while counters may hold shares that this leader does not know. */
-  private withheld: WithheldShares | undefined;
-  /** Counts its limits. */
-  private edition = 1;
-  private plan: ReadonlyMap<ShareHolder, RateLimit> = new Map();
+  private reserved: ReservedShares | undefined;
+  private version = 1;
+  private plan: ReadonlyMap<TrackedCounter, RateLimit> = new Map();
   private plannedAt = -Infinity;
-  /** The part of a depth that is there at first, and how much in all. */
-  private first = {part: 0, tokens: 0};
-  private readonly begun = new Set<ShareHolder>();
+  /** Initial tokens that remain, and their fraction of a depth. */
+  private initial = {fraction: 0, tokens: 0};
+  private readonly startedCounters = new Set<TrackedCounter>();
 
   constructor(
     private readonly name: string,
     private limit: AccountLimit,
     private readonly precision: LimitPrecision,
   ) {
-    this.terms = sharedTerms(limit, precision);
+    this.rateLimit = totalRateLimit(limit, precision);
   }
 
   setLimit(limit: AccountLimit): void {
     const {perSecond, burst} = this.limit;
     if (limit.perSecond === perSecond && limit.burst === burst) return;
     this.limit = limit;
-    this.terms = sharedTerms(limit, this.precision);
-    this.edition++;
-    this.replan();
+    this.rateLimit = totalRateLimit(limit, this.precision);
+    this.version++;
+    this.invalidatePlan();
   }
 
-  /** Counters came, went or changed their place. */
-  replan(): void {
+  invalidatePlan(): void {
     this.plannedAt = -Infinity;
   }
 
-  /** Withholds all that no known counter has. */
-  withhold(holders: readonly ShareHolder[], now: number): void {
-    const known = this.sumOfMost(holders, now);
-    this.withheld = {known, unknown: minus(this.terms, known)};
+  /** Reserves what no known counter holds. */
+  reserve(counters: readonly TrackedCounter[], now: number): void {
+    const known = this.sumInUse(counters, now);
+    this.reserved = {known, unknown: subtract(this.rateLimit, known)};
   }
 
-  /** A share is withheld no more: a counter came with it. */
+  /** Releases the share of a counter that attached with it. */
   release(share: RateLimit): void {
-    if (!this.withheld) return;
-    const {known, unknown} = this.withheld;
-    const left = minus(unknown, share);
-    this.withheld = {known: plus(known, share), unknown: left};
+    if (!this.reserved) return;
+    const {known, unknown} = this.reserved;
+    const remaining = subtract(unknown, share);
+    this.reserved = {known: add(known, share), unknown: remaining};
   }
 
   releaseAll(): void {
-    this.withheld = undefined;
+    this.reserved = undefined;
   }
 
-  /** What a counter has to be told; undefined for nothing. */
-  newsFor(
-    holder: ShareHolder,
-    holders: readonly ShareHolder[],
+  /** Returns the share to send to a counter; undefined for none. */
+  changeFor(
+    counter: TrackedCounter,
+    counters: readonly TrackedCounter[],
     now: number,
   ): RateLimit | undefined {
-    const target = this.planFor(holders, now).get(holder);
-    if (!target) return undefined;
-    const holding = holder.holding(this.name);
-    // What is allowed lies between that and what it was told.
-    if (!this.isWorthTelling(holding, target)) return undefined;
-    const terms = this.allowed(holder, target, holders, now);
-    if (!this.isWorthTelling(holding, terms)) return undefined;
-    if (isSame(terms, target)) holding.edition = this.edition;
-    return terms;
-  }
-
-  /** Nobody granted anything of it for a time, in milliseconds. */
-  begin(idleMs: number): void {
-    const {perSecond, depth} = this.terms;
-    const came = Math.max(0, (idleMs / 1_000) * perSecond);
-    const tokens = Math.min(depth, came);
-    this.first = {part: depth > 0 ? tokens / depth : 0, tokens};
-  }
-
-  /** Tokens that a counter begins with, where it is told of a depth. */
-  takeFirstTokens(holder: ShareHolder, depth: number): number {
-    if (depth === 0 || this.begun.has(holder)) return 0;
-    this.begun.add(holder);
-    const {part, tokens: left} = this.first;
-    // Parts of a token let nobody run: some counters get whole ones.
-    const tokens = Math.min(left, depth, Math.max(1, depth * part));
-    this.first = {part, tokens: left - tokens};
+    const planned = this.planFor(counters, now).get(counter);
+    if (!planned) return undefined;
+    const share = counter.shareOf(this.name);
+    // The allowed share lies between the planned one and the last one sent.
+    if (!this.needsUpdate(share, planned)) return undefined;
+    const allowed = this.allowedShare(counter, planned, counters, now);
+    if (!this.needsUpdate(share, allowed)) return undefined;
+    if (isSame(allowed, planned)) share.limitVersion = this.version;
+    return allowed;
+  }
+
+  /** @param idleMs How long nobody granted anything, in milliseconds. */
+  setInitialTokens(idleMs: number): void {
+    const {perSecond, depth} = this.rateLimit;
+    const added = Math.max(0, (idleMs / 1_000) * perSecond);
+    const tokens = Math.min(depth, added);
+    this.initial = {fraction: depth > 0 ? tokens / depth : 0, tokens};
+  }
+
+  /** Returns the tokens that a counter gets with its first share. */
+  takeInitialTokens(counter: TrackedCounter, depth: number): number {
+    if (depth === 0 || this.startedCounters.has(counter)) return 0;
+    this.startedCounters.add(counter);
+    const {fraction, tokens: remaining} = this.initial;
+    // Less than one token runs no operation, so some counters get whole ones.
+    const tokens = Math.min(remaining, depth, Math.max(1, depth * fraction));
+    this.initial = {fraction, tokens: remaining - tokens};
     return tokens;
   }
 
-  /** Looks whether it is close to its limit; whether that changed. */
-  judge(demand: number): boolean {
-    const part = this.isLimited ? ROOM_PART : CLOSE_PART;
-    const isLimited = demand > this.terms.perSecond * part;
-    const isChanged = isLimited !== this.isLimited;
-    this.isLimited = isLimited;
+  /** Compares a demand with the limit; whether `isNearLimit` changed. */
+  updateNearLimit(demand: number): boolean {
+    const fraction = this.isNearLimit
+      ? BELOW_LIMIT_FRACTION
+      : NEAR_LIMIT_FRACTION;
+    const isNearLimit = demand > this.rateLimit.perSecond * fraction;
+    const isChanged = isNearLimit !== this.isNearLimit;
+    this.isNearLimit = isNearLimit;
     return isChanged;
   }
 
   /**
-   * As much of a share as others leave. Guard: what another counter may still
-   * keep to is not given away, or both use it and the account runs beyond its
-   * limit.
+   * Returns as much of a planned share as others leave. Guard: what another
+   * counter may still apply is not granted again, or both use it and the
+   * account exceeds its limit.
    */
-  private allowed(
-    holder: ShareHolder,
-    target: RateLimit,
-    holders: readonly ShareHolder[],
+  private allowedShare(
+    counter: TrackedCounter,
+    planned: RateLimit,
+    counters: readonly TrackedCounter[],
     now: number,
   ): RateLimit {
-    const holding = holder.holding(this.name);
-    const own = minus(holding.most(now), holding.strayAt(now));
-    const inUse = minus(this.sumOfMost(holders, now), own);
-    const free = minus(this.budget, inUse);
-    const {told} = holding;
-    return lesser(target, greater(free, told));
+    const share = counter.shareOf(this.name);
+    const own = subtract(share.maxInUse(now), share.outstandingAt(now));
+    const inUse = subtract(this.sumInUse(counters, now), own);
+    const free = subtract(this.budget, inUse);
+    const {lastSent} = share;
+    return min(planned, max(free, lastSent));
   }
 
   /**
-   * What known counters may have together. Guard: a limit that was lowered
-   * before this leadership and is raised in it says nothing of what unknown
-   * counters hold; only what known ones came with is surely theirs.
+   * What known counters may have together. Guard: where a limit was lowered
+   * before this term and is raised in it, unknown counters may hold more than
+   * the lower limit leaves. Known ones get no more than they attached with.
    */
   private get budget(): RateLimit {
-    if (!this.withheld) return this.terms;
-    const {known, unknown} = this.withheld;
-    return lesser(known, minus(this.terms, unknown));
+    if (!this.reserved) return this.rateLimit;
+    const {known, unknown} = this.reserved;
+    return min(known, subtract(this.rateLimit, unknown));
   }
 
-  private isWorthTelling(holding: ShareHolding, terms: RateLimit): boolean {
-    const {told, isNews, edition} = holding;
-    if (isNews) return true;
-    if (edition !== this.edition && !isSame(told, terms)) return true;
-    return isChange(told, terms, SHARE_CHANGE_PART);
+  private needsUpdate(share: TrackedShare, next: RateLimit): boolean {
+    const {lastSent, mustSend, limitVersion} = share;
+    if (mustSend) return true;
+    if (limitVersion !== this.version && !isSame(lastSent, next)) return true;
+    return hasChanged(lastSent, next, MIN_SHARE_CHANGE_FRACTION);
   }
 
   private planFor(
-    holders: readonly ShareHolder[],
+    counters: readonly TrackedCounter[],
     now: number,
-  ): ReadonlyMap<ShareHolder, RateLimit> {
-    if (now - this.plannedAt < PLAN_MS) return this.plan;
-    this.plan = this.makePlan(holders, now);
+  ): ReadonlyMap<TrackedCounter, RateLimit> {
+    if (now - this.plannedAt < PLAN_VALID_MS) return this.plan;
+    this.plan = this.makePlan(counters, now);
     this.plannedAt = now;
     return this.plan;
   }
 
   private makePlan(
-    holders: readonly ShareHolder[],
+    counters: readonly TrackedCounter[],
     now: number,
-  ): Map<ShareHolder, RateLimit> {
+  ): Map<TrackedCounter, RateLimit> {
     const {name} = this;
-    const plan = new Map<ShareHolder, RateLimit>();
-    const eligible = holders.filter(holder => holder.isEligible(now));
-    const others = holders.filter(holder => !holder.isEligible(now));
-    for (const holder of others) {
-      if (holder.isToBeEmptied(now)) plan.set(holder, NO_SHARE);
+    const plan = new Map<TrackedCounter, RateLimit>();
+    const eligible = counters.filter(counter => counter.isEligible(now));
+    const others = counters.filter(counter => !counter.isEligible(now));
+    for (const counter of others) {
+      if (counter.mustReturnShares(now)) plan.set(counter, NO_SHARE);
     }
-    const kept = plus(this.sumOfMost(others, now), this.stray(eligible, now));
-    const budget = minus(this.budget, kept);
-    const claims = eligible.map(holder => ({
-      demand: holder.demand(name, now),
-      isHolding: holder.most(name, now).depth >= 1,
+    const kept = add(
+      this.sumInUse(others, now),
+      this.sumOutstanding(eligible, now),
+    );
+    const budget = subtract(this.budget, kept);
+    const claims = eligible.map(counter => ({
+      demand: counter.demandOf(name, now),
+      hasShare: counter.maxInUse(name, now).depth >= 1,
     }));
-    const parts = divide(budget, claims);
-    for (const [at, holder] of eligible.entries()) plan.set(holder, parts[at]!);
+    const shares = divideShares(budget, claims);
+    for (const [i, one] of eligible.entries()) plan.set(one, shares[i]!);
     return plan;
   }
 
-  /** Permits that counters gave before they lost their shares. */
-  private stray(holders: readonly ShareHolder[], now: number): RateLimit {
-    return holders.reduce((sum, holder) => {
-      return plus(sum, holder.holding(this.name).strayAt(now));
+  /** Permits that counters granted before they lost their shares. */
+  private sumOutstanding(
+    counters: readonly TrackedCounter[],
+    now: number,
+  ): RateLimit {
+    return counters.reduce((sum, counter) => {
+      return add(sum, counter.shareOf(this.name).outstandingAt(now));
     }, NO_SHARE);
   }
 
-  private sumOfMost(holders: readonly ShareHolder[], now: number): RateLimit {
+  private sumInUse(
+    counters: readonly TrackedCounter[],
+    now: number,
+  ): RateLimit {
     let perSecond = 0;
     let depth = 0;
-    for (const holder of holders) {
-      const most = holder.most(this.name, now);
-      perSecond += most.perSecond;
-      depth += most.depth;
+    for (const counter of counters) {
+      const inUse = counter.maxInUse(this.name, now);
+      perSecond += inUse.perSecond;
+      depth += inUse.depth;
     }
     return {perSecond, depth};
   }
--- a/src/services/account/common/permit_bucket.ts
+++ b/src/services/account/common/permit_bucket.ts
@@ -1,158 +1,159 @@
 import {TokenBucket, type RateLimit} from './token_bucket';
 
-/** How long permits beyond the first of an answer are good, in milliseconds. */
+/** How long permits are valid after a counter granted them. */
 export const PERMIT_VALID_MS = 500;
-/** A token that comes within this time is waited for, in milliseconds. */
-const MOST_WAIT_MS = 150;
-/** The part of the depth for permits that are out. */
-export const PERMIT_PART = 0.5;
-/** Permits beyond the first leave this part of the depth in the bucket. */
-const KEEP_PART = 0.5;
-/** What was granted longer ago does not come back, in milliseconds. */
-const REFUND_MS = 1_000;
-
-/** Grants within this time are kept as one, in milliseconds. */
-const SLOT_MS = 20;
-
-/** What was granted within a slot. */
+/** An operation waits for a token that is added within this time. */
+const MAX_WAIT_MS = 150;
+/** The fraction of the depth that may be outstanding in permits. */
+export const OUTSTANDING_FRACTION = 0.5;
+/** Further permits leave this fraction of the depth in the bucket. */
+const MIN_LEVEL_FRACTION = 0.5;
+/** Permits that were granted earlier cannot be returned. */
+const MAX_RETURN_AGE_MS = 1_000;
+
+/** Grants within this time are recorded as one. */
+const GRANT_SLOT_MS = 20;
+
 interface Grant {
-  /** When the last of it was. */
-  at: number;
-  /** Operations that may still come back. */
+  lastAt: number;
+  /** Operations that may still be returned. */
   count: number;
-  /** Permits among them that may be used until their validity ends. */
-  extra: number;
+  /** Permits of these that are outstanding until they expire. */
+  outstanding: number;
 }
 
 /**
- * The tokens of an account at one counter. Guard: what waits and the permits
- * that are out are never more than the depth together, or a flood after a calm
- * would run both: the depth beyond the limit.
+ * The tokens of an account at one counter. Guard: stored tokens and outstanding
+ * permits never exceed the depth together. Otherwise a flood after an idle time
+ * would use both, and the account would exceed its limit by the depth.
  */
 export class PermitBucket {
   private readonly bucket: TokenBucket;
   private grants: Grant[] = [];
 
   constructor(
-    private shareTerms: RateLimit,
+    private currentLimit: RateLimit,
     now: number,
   ) {
-    // Guard: a share that is new brings no tokens; they would be there twice.
-    this.bucket = new TokenBucket(shareTerms, 0, now);
+    // Guard: a new share starts without tokens, as they may still be in use at
+    // the counter that had the share before.
+    this.bucket = new TokenBucket(currentLimit, 0, now);
   }
 
   get rateLimit(): RateLimit {
-    return this.shareTerms;
+    return this.currentLimit;
   }
 
-  setRateLimit(terms: RateLimit, now: number): void {
-    this.fit(now);
-    this.shareTerms = terms;
+  setRateLimit(rateLimit: RateLimit, now: number): void {
+    this.expire(now);
+    this.currentLimit = rateLimit;
     this.resize(now);
   }
 
-  /** Adds tokens that came while nobody had the share. */
+  /** Adds the tokens of a time in which nobody had the share. */
   add(tokens: number, now: number): void {
-    this.fit(now);
+    this.expire(now);
     this.bucket.refund(tokens, now);
   }
 
   /**
-   * Takes a token, and more where plenty wait.
+   * Takes one token, and further ones while many are available.
    *
-   * @return Operations granted; 0 where none is.
+   * @return The number of permits; 0 where no token is available.
    */
   take(wanted: number, now: number): number {
-    this.fit(now);
+    this.expire(now);
     if (!this.bucket.tryTake(now)) return 0;
-    const extra = Math.min(wanted - 1, this.plenty(now));
-    this.bucket.drain(extra, now);
-    this.note(1 + extra, extra, now);
-    return 1 + extra;
+    const further = Math.min(wanted - 1, this.available(now));
+    this.bucket.takeAhead(further, now);
+    this.record(1 + further, further, now);
+    return 1 + further;
   }
 
   /**
-   * Takes the next token if it comes soon.
+   * Takes the next token if it is added soon.
    *
-   * @return When, in milliseconds; undefined where it comes later.
+   * @return Time until then, in milliseconds; undefined where it is too long.
    */
   reserve(now: number): number | undefined {
-    this.fit(now);
+    this.expire(now);
     const waitMs = this.bucket.waitMs(now);
-    if (waitMs > MOST_WAIT_MS) return undefined;
-    this.bucket.drain(1, now);
-    this.note(1, 0, now);
+    if (waitMs > MAX_WAIT_MS) return undefined;
+    this.bucket.takeAhead(1, now);
+    this.record(1, 0, now);
     return waitMs;
   }
 
-  /** When the next token comes, in milliseconds. */
+  /** Time until the next token is available. */
   waitMs(now: number): number {
-    this.fit(now);
+    this.expire(now);
     const waitMs = this.bucket.waitMs(now);
     if (Number.isFinite(waitMs)) return waitMs;
-    const first = this.grants.find(({extra}) => extra > 0);
-    return first ? first.at + PERMIT_VALID_MS - now : Infinity;
+    const first = this.grants.find(({outstanding}) => outstanding > 0);
+    return first ? first.lastAt + PERMIT_VALID_MS - now : Infinity;
   }
 
-  /** Takes tokens back that were granted a moment ago. */
-  takeBack(count: number, now: number): void {
-    this.fit(now);
-    let left = count;
+  /** Puts the tokens of recent grants back. */
+  returnPermits(count: number, now: number): void {
+    this.expire(now);
+    let remaining = count;
     for (const grant of this.grants) {
-      const part = Math.min(left, grant.count);
-      grant.count -= part;
-      grant.extra = Math.min(grant.extra, grant.count);
-      left -= part;
+      const returned = Math.min(remaining, grant.count);
+      grant.count -= returned;
+      grant.outstanding = Math.min(grant.outstanding, grant.count);
+      remaining -= returned;
     }
-    this.fit(now);
-    this.bucket.refund(count - left, now);
+    this.expire(now);
+    this.bucket.refund(count - remaining, now);
   }
 
-  private plenty(now: number): number {
-    const {depth} = this.shareTerms;
-    const room = depth * PERMIT_PART - this.out;
-    const waiting = this.bucket.level(now) - depth * KEEP_PART;
-    return Math.max(0, Math.floor(Math.min(room, waiting)));
+  /** Further permits that may be granted with one. */
+  private available(now: number): number {
+    const {depth} = this.currentLimit;
+    const headroom = depth * OUTSTANDING_FRACTION - this.outstanding;
+    const surplus = this.bucket.level(now) - depth * MIN_LEVEL_FRACTION;
+    return Math.max(0, Math.floor(Math.min(headroom, surplus)));
   }
 
-  private note(count: number, extra: number, now: number): void {
+  private record(count: number, outstanding: number, now: number): void {
     const last = this.grants.at(-1);
-    if (last && slotOf(last.at) === slotOf(now)) {
-      last.at = now;
+    if (last && slotOf(last.lastAt) === slotOf(now)) {
+      last.lastAt = now;
       last.count += count;
-      last.extra += extra;
+      last.outstanding += outstanding;
     } else {
-      this.grants.push({at: now, count, extra});
+      this.grants.push({lastAt: now, count, outstanding});
     }
     this.resize(now);
   }
 
-  /** Permits that are out. */
-  private get out(): number {
-    return this.grants.reduce((sum, {extra}) => sum + extra, 0);
+  private get outstanding(): number {
+    return this.grants.reduce((sum, {outstanding}) => sum + outstanding, 0);
   }
 
-  /** Ends permits whose time is over, each at its time. */
-  private fit(now: number): void {
+  /** Expires permits, each as of its own time. */
+  private expire(now: number): void {
     for (const grant of this.grants) {
-      const endsAt = grant.at + PERMIT_VALID_MS;
-      if (endsAt > now) break;
-      if (grant.extra === 0) continue;
-      grant.extra = 0;
-      this.resize(endsAt);
+      const expiresAt = grant.lastAt + PERMIT_VALID_MS;
+      if (expiresAt > now) break;
+      if (grant.outstanding === 0) continue;
+      grant.outstanding = 0;
+      this.resize(expiresAt);
     }
-    const kept = this.grants.findIndex(({at}) => now < at + REFUND_MS);
+    const kept = this.grants.findIndex(
+      ({lastAt}) => now < lastAt + MAX_RETURN_AGE_MS,
+    );
     this.grants.splice(0, kept < 0 ? this.grants.length : kept);
     this.resize(now);
   }
 
-  /** Leaves room in the bucket for the permits that are out. */
+  /** Reduces the depth of the bucket by the outstanding permits. */
   private resize(now: number): void {
-    const {perSecond, depth} = this.shareTerms;
-    this.bucket.setRateLimit({perSecond, depth: depth - this.out}, now);
+    const {perSecond, depth} = this.currentLimit;
+    this.bucket.setRateLimit({perSecond, depth: depth - this.outstanding}, now);
   }
 }
 
 function slotOf(at: number): number {
-  return Math.floor(at / SLOT_MS);
+  return Math.floor(at / GRANT_SLOT_MS);
 }
--- a/src/services/account/common/permit_counting.ts
+++ b/src/services/account/common/permit_counting.ts
@@ -8,155 +8,157 @@
 import type {RateLimit} from './token_bucket';
 
 /**
- * How long a counter keeps to its shares without a confirmed word of control,
- * in milliseconds. Longer than the loss of control that callers are not to
- * notice; what an unreachable counter holds is withheld from others as long.
+ * How long a counter applies its shares without a confirmation by control.
+ * Outlasts the loss of control that callers are not to notice; the shares of
+ * an unreachable counter are withheld from others for as long.
  */
 export const SHARE_LEASE_MS = 6_000;
 
 /**
- * The part of the time in which a withdrawn key has to be out of use for which
- * shares hold. Proxies that hear nothing serve no keyed work soon after (see
- * `CatalogLease`), so that what their counters still hold is of no use to
- * anybody; two thirds outlast an election and the way to the next leader.
+ * The lease on shares as a fraction of the time in which a withdrawn key has to
+ * be out of use. Proxies without control stop serving keys soon after (see
+ * `CatalogLease`), and an election fits in.
  */
-const REVOCATION_PART = 0.65;
+const SHARE_LEASE_FRACTION = 0.65;
 
 /**
- * How long shares hold without a confirmed word of control, in milliseconds.
+ * Returns how long shares are valid without a confirmation by control, in
+ * milliseconds.
  *
- * @param revocationMs How long after its withdrawal a key may be in use; 0
- *     where that is not promised.
+ * @param revocationMs How long a key may be in use after its withdrawal; 0
+ *     where there is no bound.
  */
 export function shareLeaseMs(revocationMs: number): number {
   if (revocationMs === 0) return SHARE_LEASE_MS;
-  return Math.min(SHARE_LEASE_MS, revocationMs * REVOCATION_PART);
+  return Math.min(SHARE_LEASE_MS, revocationMs * SHARE_LEASE_FRACTION);
 }
 
-/** An account that came close to its limit, or has room again. */
+/** An account came close to its limit, or is well below it again. */
 export interface NearLimitChange {
   readonly account: string;
   readonly isNearLimit: boolean;
-  /** Operations a second that it asks for, refused ones included. */
+  /** Operations a second that are requested, including refused ones. */
   readonly demand: number;
-  /** What it may run at all counters together. */
+  /** The limit over all counters. */
   readonly rateLimit: RateLimit;
-  /** Counters that hold shares of it. */
+  /** Number of counters that hold shares of the account. */
   readonly counters: number;
 }
 
 /**
- * The leader of control's side: divides the limit of each account among the
- * counters. What they hold together, counted as the most that each may still
- * keep to, never exceeds the limit.
+ * Divides the limit of each account among the counters, on the leader of
+ * control. The shares that counters may still apply never exceed the limit.
  */
 export interface ShareAllocator {
   setAccounts(accounts: readonly AccountEntry[], now: number): void;
-  /** Takes the counters that the control log names. */
+  /** Takes the counters that the control log lists. */
   setCounters(counters: readonly CounterEntry[], now: number): void;
   /**
-   * A counter came, with the shares that it holds: none where it is new.
+   * A counter attached to this leader.
    *
-   * @param idleSince Since when it has granted nothing, on control's clock.
+   * @param shares The shares that it holds; none after its start.
+   * @param lastGrantAt When it last granted a permit, on control's clock.
    */
   onDidAttach(
     counter: string,
     shares: readonly AccountShare[],
-    idleSince: number,
+    lastGrantAt: number,
     now: number,
   ): void;
-  /** Takes what a counter counted and the newest list that is in force there. */
+  /** Takes the use at a counter and the number of the list it applies. */
   report(
     counter: string,
     uses: readonly AccountUse[],
-    sharesNumber: number,
+    shareListNumber: number,
     now: number,
   ): void;
-  /** A majority confirmed this leader after a question of a counter. */
+  /** A majority confirmed this leader after a request of the counter. */
   renewLease(counter: string, now: number): void;
-  /** What changed for a counter since it was told; undefined for nothing. */
+  /** Returns the next list for a counter; undefined where nothing changed. */
   takeChangedShares(counter: string, now: number): AccountShares | undefined;
-  /** Looks which accounts are close to their limits; those that changed. */
+  /** Returns the accounts that changed since the last call. */
   updateNearLimit(now: number): NearLimitChange[];
-  /** Whether a counter that is retiring can hold no share any more. */
+  /** Whether a retiring counter holds no share any more. */
   canRemove(counter: string, now: number): boolean;
 }
 
-/** A retry is never asked for later than this, in milliseconds. */
+/** The longest retry delay of a refused caller. */
 export const MAX_RETRY_MS = 5_000;
 
 /** A counter lets operations run. */
 export interface GrantedPermits {
   readonly kind: 'granted';
-  /** Operations that may run, the one asked for included. */
+  /** Operations that may run, including the requested one. */
   readonly count: number;
-  /** How long after the question they may be used, in milliseconds. */
+  /** How long after the request they may run, in milliseconds. */
   readonly validMs: number;
-  /** How long the operation waits before it runs, in milliseconds. */
+  /** How long the operation has to wait before it runs, in milliseconds. */
   readonly waitMs: number;
 }
 
-/** A counter has no room for an operation. */
+/** A counter has no token for an operation. */
 export interface RefusedPermit {
   readonly kind: 'refused';
-  /** When there is room, in milliseconds; each one told so gets a later time. */
+  /** Time until a token is available; later for each further refusal. */
   readonly retryAfterMs: number;
 }
 
-/** What a counter says to a request for permits. */
+/** A counter's answer to a request for permits. */
 export type PermitDecision =
   | GrantedPermits
   | RefusedPermit
-  /** It holds no share of the account. */
+  /** The counter has no share of the account. */
   | {readonly kind: 'unknown account'};
 
-/** A counter's side: counts the operations of accounts for its region. */
+/** Counts the operations of accounts for a region, on a proxy. */
 export interface PermitCounter {
   setAccounts(accounts: readonly AccountEntry[]): void;
   setShares(shares: AccountShares): void;
-  /** Takes a majority's confirmation of a question asked at a time. */
-  extendLease(askedAt: number): void;
-  /** It follows another leader, whose lists are numbered from 1 again. */
+  /** A majority confirmed a request that was sent at a time. */
+  extendLease(requestedAt: number): void;
+  /** The stream to the leader ended; the next one numbers lists from 1. */
   onDidDetach(): void;
-  /** The shares that it keeps to, for a leader that it comes to. */
+  /** The shares in force, which are reported to the next leader. */
   readonly heldShares: AccountShare[];
+  /** The number of the newest list of shares in force; 0 for none. */
   readonly shareListNumber: number;
-  /** For how long it has granted nothing, in milliseconds. */
+  /** Time since it last granted anything, in milliseconds. */
   readonly idleMs: number;
   /**
-   * @param wanted Operations that the asker could use while a permit is valid.
+   * @param wanted Operations that the requester expects to run while a permit
+   *     is valid.
    */
   requestPermits(account: string, wanted: number): PermitDecision;
-  /** Operations that were granted did not run. */
+  /** Takes back permits of operations that did not run. */
   returnPermits(account: string, count: number): void;
-  /** What was granted and refused since the last report. */
+  /** Returns what was granted and refused since the last call. */
   takeReport(): AccountUse[];
 }
 
-/** What a proxy knows before it asks a counter. */
+/** What a proxy can decide about an operation without a counter. */
 export type PermitLookup =
-  /** It held a permit, which is taken now. */
+  /** A cached permit was taken. */
   | {readonly kind: 'taken'}
-  /** A counter said a moment ago that there is no room before then. */
+  /** A recent refusal by the counters still holds. */
   | {readonly kind: 'refused'; readonly retryAfterMs: number}
-  /** A counter has to be asked, for so many operations. */
+  /** Permits have to be requested from a counter. */
   | {
-      readonly kind: 'ask';
+      readonly kind: 'request';
       readonly wanted: number;
-      /** Counters worth asking after one that has no room. */
-      readonly further: number;
+      /** How many more counters to try after a refusal. */
+      readonly maxFurtherCounters: number;
     };
 
-/** What a proxy keeps of its counters' words, by account. */
+/** Permits and refusals that a proxy got from counters, by account. */
 export interface PermitCache {
   tryTake(account: string, now: number): PermitLookup;
-  /** Takes the answer to a question; permits beyond the first are kept. */
+  /** Stores the answer to a request: further permits, or a refusal. */
   onDidReceiveDecision(
     account: string,
-    askedAt: number,
+    requestedAt: number,
     decision: PermitDecision,
     now: number,
   ): void;
-  /** Whether one that was counted in may be used by the next operation. */
+  /** Puts a used permit back; whether one was still valid. */
   returnPermit(account: string, now: number): boolean;
 }
--- a/src/services/account/common/permit_messages.ts
+++ b/src/services/account/common/permit_messages.ts
@@ -1,7 +1,7 @@
 import type {PermitReply} from '../../../schema/generated/account';
 import type {PermitDecision} from './permit_counting';
 
-/** A counter's decision as a message. */
+/** Encodes the decision on the request with a number. */
 export function encodeDecision(
   number: number,
   decision: PermitDecision,
@@ -13,8 +13,8 @@
       return {
         number,
         granted: count,
-        // Rounded so that the asker never keeps a permit for longer, and never
-        // runs an operation before its token is there.
+        // Rounded so that the requester never keeps a permit for longer, and
+        // never runs an operation before its token is added.
         validMs: Math.floor(validMs),
         waitMs: Math.ceil(waitMs),
         unknownAccount: false,
@@ -29,7 +29,7 @@
   }
 }
 
-/** Reads a counter's decision. */
+/** Decodes the decision of a reply. */
 export function decodeDecision({
   granted,
   validMs,
--- a/src/services/account/common/rate_limit_math.ts
+++ b/src/services/account/common/rate_limit_math.ts
@@ -1,61 +1,61 @@
 import type {RateLimit} from './token_bucket';
 
-/** No operations. */
+/** The share of a counter that may run no operation. */
 export const NO_SHARE: RateLimit = {perSecond: 0, depth: 0};
 
-/** Shares that differ by less than this part of them are the same. */
-const ROUNDING_PART = 1e-6;
+/** A smaller relative difference is a rounding error. */
+const ROUNDING_FRACTION = 1e-6;
 
-/** Two shares together. */
-export function plus(one: RateLimit, other: RateLimit): RateLimit {
+/** Returns the sum of two limits. */
+export function add(one: RateLimit, other: RateLimit): RateLimit {
   return {
     perSecond: one.perSecond + other.perSecond,
     depth: one.depth + other.depth,
   };
 }
 
-/** What is left of a share; never below nothing. */
-export function minus(one: RateLimit, other: RateLimit): RateLimit {
+/** Returns the difference of two limits, each part at least 0. */
+export function subtract(one: RateLimit, other: RateLimit): RateLimit {
   return {
     perSecond: Math.max(0, one.perSecond - other.perSecond),
     depth: Math.max(0, one.depth - other.depth),
   };
 }
 
-/** As much of both as either has. */
-export function lesser(one: RateLimit, other: RateLimit): RateLimit {
+/** Returns the lower rate and the lower depth of two limits. */
+export function min(one: RateLimit, other: RateLimit): RateLimit {
   return {
     perSecond: Math.min(one.perSecond, other.perSecond),
     depth: Math.min(one.depth, other.depth),
   };
 }
 
-/** As much of both as one of them has. */
-export function greater(one: RateLimit, other: RateLimit): RateLimit {
+/** Returns the higher rate and the higher depth of two limits. */
+export function max(one: RateLimit, other: RateLimit): RateLimit {
   return {
     perSecond: Math.max(one.perSecond, other.perSecond),
     depth: Math.max(one.depth, other.depth),
   };
 }
 
-/** Whether two shares are the same but for rounding. */
+/** Whether two limits are equal except for rounding. */
 export function isSame(one: RateLimit, other: RateLimit): boolean {
-  return !isChange(one, other, ROUNDING_PART);
+  return !hasChanged(one, other, ROUNDING_FRACTION);
 }
 
-/** Whether a share became another by some part of it. */
-export function isChange(
+/** Whether the rate or the depth changed by at least a fraction of itself. */
+export function hasChanged(
   before: RateLimit,
   after: RateLimit,
-  part: number,
+  fraction: number,
 ): boolean {
   return (
-    isFar(before.perSecond, after.perSecond, part) ||
-    isFar(before.depth, after.depth, part)
+    differs(before.perSecond, after.perSecond, fraction) ||
+    differs(before.depth, after.depth, fraction)
   );
 }
 
-function isFar(before: number, after: number, part: number): boolean {
+function differs(before: number, after: number, fraction: number): boolean {
   const difference = Math.abs(after - before);
-  return difference > 0 && difference >= before * part;
+  return difference > 0 && difference >= before * fraction;
 }
--- a/src/services/account/common/refusal_tracker.ts
+++ b/src/services/account/common/refusal_tracker.ts
@@ -1,32 +1,30 @@
 import type {RefusedPermit} from './permit_counting';
 
 /**
- * An operation's question to one counter after the other. Guard: each counter
- * has a part of the limit only; without asking on, operations of a small
- * account far below its limit are refused where too many come to one part by
- * chance.
+ * The refusals that one operation got. Guard: each counter holds only a share
+ * of the limit. Unless another one is tried, operations of small accounts below
+ * their limits are refused where many of them reach the same counter.
  */
-export class PermitQuestion {
-  private refusals = 0;
-  private roomAt = Infinity;
+export class RefusalTracker {
+  private refusalCount = 0;
+  private availableAt = Infinity;
 
-  /** @param further Counters worth asking after one that has no room. */
-  constructor(private readonly further: number) {}
+  /** @param maxFurtherCounters How many to try after the first refusal. */
+  constructor(private readonly maxFurtherCounters: number) {}
 
-  onRefused(askedAt: number, {retryAfterMs}: RefusedPermit): void {
-    this.refusals++;
-    this.roomAt = Math.min(this.roomAt, askedAt + retryAfterMs);
+  add(requestedAt: number, {retryAfterMs}: RefusedPermit): void {
+    this.refusalCount++;
+    this.availableAt = Math.min(this.availableAt, requestedAt + retryAfterMs);
   }
 
-  /** Whether another counter may be asked. */
-  get mayGoOn(): boolean {
-    return this.refusals <= this.further;
+  get canTryAnother(): boolean {
+    return this.refusalCount <= this.maxFurtherCounters;
   }
 
-  /** What those asked said together; undefined where none refused. */
+  /** Returns the earliest retry time of all; undefined where none refused. */
   refusalAt(now: number): RefusedPermit | undefined {
-    if (this.refusals === 0) return undefined;
-    const retryAfterMs = Math.max(1, Math.ceil(this.roomAt - now));
+    if (this.refusalCount === 0) return undefined;
+    const retryAfterMs = Math.max(1, Math.ceil(this.availableAt - now));
     return {kind: 'refused', retryAfterMs};
   }
 }
--- a/src/services/account/common/share_division.ts
+++ b/src/services/account/common/share_division.ts
@@ -2,59 +2,59 @@
 import {NO_SHARE} from './rate_limit_math';
 import type {RateLimit} from './token_bucket';
 
-/**
- * The part of what an account does not ask for that stays with control, for the
- * counter that asks for more next.
- */
-const LEFT_OVER_PART = 0.15;
-/** The part of it that all counters get alike, asked or not. */
-const EQUAL_PART = 0.5;
-/** All counters alike get at least this part of the limit. */
-const FLOOR_PART = 0.1;
+/** The fraction of the unused rate that is kept for rising demand. */
+const KEPT_FRACTION = 0.15;
+/** The fraction of the unused rate that is divided equally. */
+const EQUAL_FRACTION = 0.5;
+/** At least this fraction of the limit is divided equally. */
+const MIN_EQUAL_FRACTION = 0.1;
 
-/** A counter among those that get shares of an account. */
-export interface Claim {
-  /** Operations a second that it is asked for. */
+/** A counter among which the limit of an account is divided. */
+export interface ShareClaim {
+  /** Requested operations a second. */
   readonly demand: number;
-  /** Whether it has a share already. */
-  readonly isHolding: boolean;
+  readonly hasShare: boolean;
 }
 
-/** Divides a limit among counters by what they are asked for. */
-export function divide(
-  terms: RateLimit,
-  claims: readonly Claim[],
+/** Divides a limit among counters by their demand. */
+export function divideShares(
+  rateLimit: RateLimit,
+  claims: readonly ShareClaim[],
 ): RateLimit[] {
-  const shared = choose(claims, terms.depth);
-  const demands = shared.map(claim => claim.demand);
-  const rates = divideRate(terms.perSecond, demands);
-  // Tokens that wait are lost where depth moves away: it is divided evenly.
-  const depth = terms.depth / Math.max(1, shared.length);
-  const parts = new Map(
-    shared.map((claim, at) => [claim, {perSecond: rates[at]!, depth}]),
+  const served = selectClaims(claims, rateLimit.depth);
+  const demands = served.map(claim => claim.demand);
+  const rates = divideRate(rateLimit.perSecond, demands);
+  // Stored tokens are lost where depth is moved, so it is divided equally.
+  const depth = rateLimit.depth / Math.max(1, served.length);
+  const shares = new Map(
+    served.map((claim, index) => [claim, {perSecond: rates[index]!, depth}]),
   );
-  return claims.map(claim => parts.get(claim) ?? NO_SHARE);
+  return claims.map(claim => shares.get(claim) ?? NO_SHARE);
 }
 
-/** A counter where no token can wait runs nothing: then fewer get more. */
-function choose(claims: readonly Claim[], depth: number): readonly Claim[] {
-  const most = Math.max(1, Math.floor(depth));
-  if (claims.length <= most) return claims;
-  const weight = ({demand, isHolding}: Claim) => {
-    return isHolding ? 2 * demand + 1 : demand;
+/** Leaves out claims where the depth of each would be less than one token. */
+function selectClaims(
+  claims: readonly ShareClaim[],
+  depth: number,
+): readonly ShareClaim[] {
+  const maxCount = Math.max(1, Math.floor(depth));
+  if (claims.length <= maxCount) return claims;
+  const weight = ({demand, hasShare}: ShareClaim) => {
+    return hasShare ? 2 * demand + 1 : demand;
   };
   const heaviest = [...claims].sort((one, two) => weight(two) - weight(one));
-  return heaviest.slice(0, most);
+  return heaviest.slice(0, maxCount);
 }
 
-function divideRate(all: number, demands: readonly number[]): number[] {
-  const total = sumOf(demands);
-  const spare = Math.max(0, all - total);
-  const leftOver = spare * LEFT_OVER_PART;
-  const alike = Math.max(all * FLOOR_PART, spare * EQUAL_PART);
-  const byDemand = all - leftOver - alike;
+function divideRate(rate: number, demands: readonly number[]): number[] {
+  const totalDemand = sumOf(demands);
+  const unused = Math.max(0, rate - totalDemand);
+  const kept = unused * KEPT_FRACTION;
+  const equal = Math.max(rate * MIN_EQUAL_FRACTION, unused * EQUAL_FRACTION);
+  const byDemand = rate - kept - equal;
   return demands.map(demand => {
-    const part = total > 0 ? demand / total : 1 / demands.length;
-    return byDemand * part + alike / demands.length;
+    const fraction =
+      totalDemand > 0 ? demand / totalDemand : 1 / demands.length;
+    return byDemand * fraction + equal / demands.length;
   });
 }
--- a/src/services/account/common/token_bucket.ts
+++ b/src/services/account/common/token_bucket.ts
@@ -1,17 +1,16 @@
-/** How fast tokens come, and how many can wait. */
+/** A rate of tokens, and how many of them a bucket stores. */
 export interface RateLimit {
-  /** Tokens a second. */
   readonly perSecond: number;
   readonly depth: number;
 }
 
-/** Tokens that come at a rate and wait up to a depth. */
+/** Adds tokens at a rate and stores them up to a depth. */
 export class TokenBucket {
   private filledAt: number;
 
-  /** @param now On the owner's clock, in milliseconds, as everywhere here. */
+  /** @param now Time on the owner's clock, as in all methods. */
   constructor(
-    private currentTerms: RateLimit,
+    private currentLimit: RateLimit,
     private tokens: number,
     now: number,
   ) {
@@ -19,52 +18,52 @@
   }
 
   get rateLimit(): RateLimit {
-    return this.currentTerms;
+    return this.currentLimit;
   }
 
-  /** Tokens that wait now; below 0 where more were taken than there were. */
+  /** Returns the stored tokens; below 0 where some were taken ahead. */
   level(now: number): number {
     this.fill(now);
     return this.tokens;
   }
 
-  /** Changes the terms; what waits beyond the new depth is lost. */
-  setRateLimit(terms: RateLimit, now: number): void {
+  /** Changes rate and depth; tokens beyond the new depth are lost. */
+  setRateLimit(rateLimit: RateLimit, now: number): void {
     this.fill(now);
-    this.currentTerms = terms;
-    this.tokens = Math.min(this.tokens, terms.depth);
+    this.currentLimit = rateLimit;
+    this.tokens = Math.min(this.tokens, rateLimit.depth);
   }
 
-  /** Takes one token if there is one. */
+  /** Takes one token if it is stored. */
   tryTake(now: number): boolean {
     if (this.level(now) < 1) return false;
     this.tokens--;
     return true;
   }
 
-  /** Takes tokens whether they are there or not. */
-  drain(count: number, now: number): void {
+  /** Takes tokens even where they are not added yet. */
+  takeAhead(count: number, now: number): void {
     this.fill(now);
     this.tokens -= count;
   }
 
-  /** Puts tokens back that were not used. */
+  /** Puts unused tokens back. */
   refund(count: number, now: number): void {
-    this.tokens = Math.min(this.currentTerms.depth, this.level(now) + count);
+    this.tokens = Math.min(this.currentLimit.depth, this.level(now) + count);
   }
 
-  /** In how many milliseconds there is a token; Infinity where none comes. */
+  /** Time until a token is stored, in milliseconds; Infinity for never. */
   waitMs(now: number): number {
     const missing = 1 - this.level(now);
     if (missing <= 0) return 0;
-    const {perSecond, depth} = this.currentTerms;
+    const {perSecond, depth} = this.currentLimit;
     return depth < 1 ? Infinity : (missing / perSecond) * 1_000;
   }
 
   private fill(now: number): void {
-    const {perSecond, depth} = this.currentTerms;
-    const came = ((now - this.filledAt) / 1_000) * perSecond;
+    const {perSecond, depth} = this.currentLimit;
+    const added = ((now - this.filledAt) / 1_000) * perSecond;
     this.filledAt = now;
-    if (came > 0) this.tokens = Math.min(depth, this.tokens + came);
+    if (added > 0) this.tokens = Math.min(depth, this.tokens + added);
   }
 }
--- a/src/services/account/common/tracked_counter.ts
+++ b/src/services/account/common/tracked_counter.ts
@@ -6,56 +6,50 @@
 } from '../../../schema/generated/fleet';
 import {DecayedRate} from './decayed_rate';
 import {PERMIT_VALID_MS} from './permit_bucket';
-import {ShareHolding} from './tracked_share';
 import {NO_SHARE} from './rate_limit_math';
 import type {RateLimit} from './token_bucket';
+import {TrackedShare} from './tracked_share';
 
-/**
- * A counter's lease runs from its question, by its own clock; its shares are
- * counted as in use for this much longer, in milliseconds.
- */
+/** Allows for clock drift and for the latency of a request to control. */
 const LEASE_MARGIN_MS = 1_000;
-/** What a counter that lost its shares granted may run so long, in ms. */
-export const STRAY_MS = PERMIT_VALID_MS + 100;
-/** A counter that reported nothing for so long is told nothing, in ms. */
-const SILENT_MS = 1_500;
-/** One that retires is asked by proxies that heard nothing, for so long. */
-const RETIRE_MS = 2_000;
-/** The part of its share that a counter is taken to use until it reports. */
-const USED_PART = 0.6;
-/**
- * What counters are asked for is forgotten with this time constant, in ms: by
- * what came in less, shares of small accounts move about by chance.
- */
-const DEMAND_MEMORY_MS = 4_000;
+/** How long permits may be in use after the counter lost its shares. */
+export const OUTSTANDING_PERMITS_MS = PERMIT_VALID_MS + 100;
+/** A counter without a report for this time is unresponsive. */
+const UNRESPONSIVE_MS = 1_500;
+/** Proxies with an older list of counters still use a retiring one. */
+const RETIREMENT_DELAY_MS = 2_000;
+/** The fraction of a share that counts as demand until a counter reports. */
+const ASSUMED_USE_FRACTION = 0.6;
+/** Long enough that shares of small accounts do not follow chance. */
+const DEMAND_TIME_CONSTANT_MS = 4_000;
 
 /**
- * When what was granted at a time has ended for sure.
+ * Returns when shares granted at a time are certainly out of use.
  *
- * @param leaseMs How long shares hold after a counter's question.
+ * @param leaseMs How long shares are valid after a counter's request.
  */
 export function leaseEnd(grantedAt: number, leaseMs: number): number {
   return grantedAt + leaseMs + LEASE_MARGIN_MS;
 }
 
-/** A counter, as the leader of control knows it. */
-export class ShareHolder {
-  private readonly holdings = new Map<string, ShareHolding>();
+/** What the control leader knows of a counter and its shares. */
+export class TrackedCounter {
+  private readonly shares = new Map<string, TrackedShare>();
   private readonly demands = new Map<string, DecayedRate>();
-  /** When accounts lost their limits of which it had shares. */
-  private readonly forgottenAt = new Map<string, number>();
+  /** When accounts with a share here lost their limits. */
+  private readonly removedAt = new Map<string, number>();
   private isListed = false;
-  private retiringSince = Infinity;
+  private retiredAt = Infinity;
   private attachedAt = -Infinity;
   private renewedAt = -Infinity;
-  private heardAt = -Infinity;
-  private emptyAt = -Infinity;
-  /** Whether it held shares when it came. */
+  private lastReceivedAt = -Infinity;
+  private attachedEmptyAt = -Infinity;
+  /** Whether it held shares when it attached. */
   hadShares = false;
-  /** Since when it had granted nothing when it came. */
-  idleSince = Infinity;
-  private number = 0;
-  private acknowledged = 0;
+  /** When it had last granted a permit, as of its attachment. */
+  lastGrantAt = Infinity;
+  private listNumber = 0;
+  private acknowledgedNumber = 0;
 
   constructor(private readonly leaseMs: number) {}
 
@@ -63,160 +57,162 @@
     return this.attachedAt > -Infinity;
   }
 
-  /** Takes its place in the list of counters; undefined where it has none. */
-  place(entry: CounterEntry | undefined, now: number): void {
+  /** Takes its entry in the list of counters; undefined where it has none. */
+  setEntry(entry: CounterEntry | undefined, now: number): void {
     this.isListed = entry !== undefined && !entry.retiring;
-    if (this.isListed) this.retiringSince = Infinity;
-    else this.retiringSince = Math.min(this.retiringSince, now);
+    if (this.isListed) this.retiredAt = Infinity;
+    else this.retiredAt = Math.min(this.retiredAt, now);
   }
 
   /** Whether it gets shares. */
   isEligible(now: number): boolean {
-    return this.isListed && this.isHeard(now);
+    return this.isListed && this.isResponsive(now);
   }
 
-  isHeard(now: number): boolean {
-    return now - this.heardAt < SILENT_MS;
+  isResponsive(now: number): boolean {
+    return now - this.lastReceivedAt < UNRESPONSIVE_MS;
   }
 
-  /** Whether it has to give back what it has. */
-  isToBeEmptied(now: number): boolean {
-    const isAsked = now - this.retiringSince < RETIRE_MS;
-    return !this.isListed && !isAsked && this.isHeard(now);
+  mustReturnShares(now: number): boolean {
+    const isStillInUse = now - this.retiredAt < RETIREMENT_DELAY_MS;
+    return !this.isListed && !isStillInUse && this.isResponsive(now);
   }
 
-  /** Whether it came without shares so shortly that its permits may be out. */
-  isFresh(now: number): boolean {
-    return now < this.emptyAt + STRAY_MS;
+  /** Whether permits from before a recent attachment may be in use. */
+  mayHaveOutstandingPermits(now: number): boolean {
+    return now < this.attachedEmptyAt + OUTSTANDING_PERMITS_MS;
   }
 
   attach(
     shares: readonly AccountShare[],
-    idleSince: number,
+    lastGrantAt: number,
     now: number,
   ): void {
-    this.idleSince = idleSince;
+    this.lastGrantAt = lastGrantAt;
     this.attachedAt = now;
-    this.heardAt = now;
-    this.restartLists();
+    this.lastReceivedAt = now;
+    this.resetLists();
     this.hadShares = shares.length > 0;
-    if (this.hadShares) return this.hold(shares, now);
-    this.lose(now);
-    this.emptyAt = now;
+    if (this.hadShares) return this.setShares(shares, now);
+    this.onDidLoseShares(now);
+    this.attachedEmptyAt = now;
   }
 
-  report(uses: readonly AccountUse[], number: number, now: number): void {
-    this.heardAt = now;
+  report(uses: readonly AccountUse[], listNumber: number, now: number): void {
+    this.lastReceivedAt = now;
     for (const {account, run, refused} of uses) {
-      this.demandOf(account, now).add(run + refused, now);
+      this.demandRateOf(account, now).add(run + refused, now);
     }
-    // Guard: a counter whose lease ended has dropped its shares and all lists.
-    // Told of changes only, it would refuse the account for good.
-    const hasLost = number === 0 && this.acknowledged > 0;
+    // Guard: a counter whose lease expired has dropped its shares. Sent only
+    // changes, it would refuse the accounts that did not change.
+    const hasLost = listNumber === 0 && this.acknowledgedNumber > 0;
     if (hasLost) {
-      this.lose(now);
-      this.restartLists();
+      this.onDidLoseShares(now);
+      this.resetLists();
     }
-    this.acknowledge(number);
+    this.acknowledge(listNumber);
   }
 
-  renew(now: number): void {
+  renewLease(now: number): void {
     this.renewedAt = now;
   }
 
-  /** Drops what it held if its lease ended before a time; whether it did. */
-  expire(confirmedAt: number, now: number): boolean {
-    const heldSince = Math.max(this.renewedAt, this.attachedAt);
-    const isOver = confirmedAt >= leaseEnd(heldSince, this.leaseMs);
-    if (!isOver || this.holdings.size === 0) return false;
-    this.holdings.clear();
-    this.restartLists();
+  /** Drops its shares if the lease expired by a time; whether it did. */
+  expireLease(confirmedAt: number, now: number): boolean {
+    const leasedAt = Math.max(this.renewedAt, this.attachedAt);
+    const isExpired = confirmedAt >= leaseEnd(leasedAt, this.leaseMs);
+    if (!isExpired || this.shares.size === 0) return false;
+    this.shares.clear();
+    this.resetLists();
     this.attachedAt = now;
     return true;
   }
 
-  most(account: string, now: number): RateLimit {
-    return this.holdings.get(account)?.most(now) ?? NO_SHARE;
+  /** Returns the largest share of an account that may be in use here. */
+  maxInUse(account: string, now: number): RateLimit {
+    return this.shares.get(account)?.maxInUse(now) ?? NO_SHARE;
   }
 
-  demand(account: string, now: number): number {
+  /** Returns the requested operations of an account, a second. */
+  demandOf(account: string, now: number): number {
     return this.demands.get(account)?.perSecond(now) ?? 0;
   }
 
-  holding(account: string): ShareHolding {
-    const known = this.holdings.get(account);
-    const holding = known ?? new ShareHolding();
-    this.holdings.set(account, holding);
-    return holding;
+  shareOf(account: string): TrackedShare {
+    const known = this.shares.get(account);
+    const share = known ?? new TrackedShare();
+    this.shares.set(account, share);
+    return share;
   }
 
-  /** Makes the next list, of shares that are told from now on. */
-  tell(shares: AccountShare[]): AccountShares {
-    const number = ++this.number;
+  /** Numbers a list of shares that is about to be sent. */
+  recordList(shares: AccountShare[]): AccountShares {
+    const number = ++this.listNumber;
     for (const {account, perSecond, depth} of shares) {
-      this.forgottenAt.delete(account);
-      this.holding(account).tell({perSecond, depth}, number);
+      this.removedAt.delete(account);
+      this.shareOf(account).recordSent({perSecond, depth}, number);
     }
     return {shares, number};
   }
 
-  /** Whether no account can have a share here any more. */
-  holdsNothing(now: number): boolean {
-    for (const [account, holding] of this.holdings) {
-      if (this.isForgotten(account, now)) continue;
-      const {perSecond, depth} = holding.most(now);
+  /** Whether no share of any account can be in use here. */
+  isEmpty(now: number): boolean {
+    for (const [account, share] of this.shares) {
+      if (this.isRemoved(account, now)) continue;
+      const {perSecond, depth} = share.maxInUse(now);
       if (perSecond > 0 || depth > 0) return false;
     }
     return true;
   }
 
   /**
-   * An account has no limit any more: the counter drops its share with its next
-   * catalog, or with its lease.
+   * An account has no limit any more. The counter drops its share with the next
+   * catalog, or when its lease expires.
    */
-  forget(account: string, now: number): void {
-    const holding = this.holdings.get(account);
-    if (!holding) return;
-    holding.isNews = true;
-    this.forgottenAt.set(account, now);
+  removeAccount(account: string, now: number): void {
+    const share = this.shares.get(account);
+    if (!share) return;
+    share.mustSend = true;
+    this.removedAt.set(account, now);
     this.demands.delete(account);
   }
 
-  private isForgotten(account: string, now: number): boolean {
-    const at = this.forgottenAt.get(account);
-    return at !== undefined && now >= leaseEnd(at, this.leaseMs);
+  private isRemoved(account: string, now: number): boolean {
+    const removedAt = this.removedAt.get(account);
+    return removedAt !== undefined && now >= leaseEnd(removedAt, this.leaseMs);
   }
 
-  private restartLists(): void {
-    this.number = 0;
-    this.acknowledged = 0;
+  private resetLists(): void {
+    this.listNumber = 0;
+    this.acknowledgedNumber = 0;
   }
 
   private acknowledge(number: number): void {
-    if (number <= this.acknowledged || number > this.number) return;
-    this.acknowledged = number;
-    for (const holding of this.holdings.values()) holding.acknowledge(number);
+    if (number <= this.acknowledgedNumber || number > this.listNumber) return;
+    this.acknowledgedNumber = number;
+    for (const share of this.shares.values()) share.acknowledge(number);
   }
 
-  private lose(now: number): void {
-    for (const holding of this.holdings.values()) {
-      holding.lose(now + STRAY_MS, now);
+  private onDidLoseShares(now: number): void {
+    for (const share of this.shares.values()) {
+      share.onDidLose(now + OUTSTANDING_PERMITS_MS, now);
     }
   }
 
-  private hold(shares: readonly AccountShare[], now: number): void {
-    this.holdings.clear();
+  private setShares(shares: readonly AccountShare[], now: number): void {
+    this.shares.clear();
     for (const {account, perSecond, depth} of shares) {
-      this.holdings.set(account, new ShareHolding({perSecond, depth}));
+      this.shares.set(account, new TrackedShare({perSecond, depth}));
       if (this.demands.has(account)) continue;
-      const used = (perSecond * USED_PART * DEMAND_MEMORY_MS) / 1_000;
-      this.demandOf(account, now).add(used, now);
+      const assumed =
+        (perSecond * ASSUMED_USE_FRACTION * DEMAND_TIME_CONSTANT_MS) / 1_000;
+      this.demandRateOf(account, now).add(assumed, now);
     }
   }
 
-  private demandOf(account: string, now: number): DecayedRate {
+  private demandRateOf(account: string, now: number): DecayedRate {
     const known = this.demands.get(account);
-    const demand = known ?? new DecayedRate(now, DEMAND_MEMORY_MS);
+    const demand = known ?? new DecayedRate(now, DEMAND_TIME_CONSTANT_MS);
     this.demands.set(account, demand);
     return demand;
   }
--- a/src/services/account/common/tracked_share.ts
+++ b/src/services/account/common/tracked_share.ts
@@ -1,82 +1,85 @@
-import {PERMIT_PART} from './permit_bucket';
-import {greater, NO_SHARE, plus} from './rate_limit_math';
+import {OUTSTANDING_FRACTION} from './permit_bucket';
+import {add, max, NO_SHARE} from './rate_limit_math';
 import type {RateLimit} from './token_bucket';
 
-interface ToldShare {
+interface SentShare {
+  /** Number of the list that carried the share. */
   readonly number: number;
-  readonly terms: RateLimit;
+  readonly rateLimit: RateLimit;
 }
 
-/** Permits that a counter gave before it lost its shares. */
-interface StrayPermits {
+/** Permits that a counter granted before it lost its shares. */
+interface OutstandingPermits {
   readonly depth: number;
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
 /**
- * The share of one account at one counter, as the leader of control knows it:
- * what is in force there, and what it was told since.
+ * The share of one account at one counter, as the control leader knows it:
+ * the one that the counter acknowledged, and those sent since.
  */
-export class ShareHolding {
-  /** The first one is in force. */
-  private lists: ToldShare[];
-  /** The most of all lists. */
+export class TrackedShare {
+  /** The first one is acknowledged. */
+  private sent: SentShare[];
+  /** The maximum of all shares in `sent`. */
   private inUse: RateLimit;
-  private stray: StrayPermits | undefined;
+  private outstanding: OutstandingPermits | undefined;
 
   constructor(
-    inForce = NO_SHARE,
-    /** Whether the counter has to be told of it in any case. */
-    public isNews = true,
-    /** The limit that it was last told a share of. */
-    public edition = 0,
+    acknowledged = NO_SHARE,
+    /** Whether it has to be sent even where it did not change. */
+    public mustSend = true,
+    /** The version of the account's limit that was last sent in full. */
+    public limitVersion = 0,
   ) {
-    this.lists = [{number: 0, terms: inForce}];
-    this.inUse = inForce;
+    this.sent = [{number: 0, rateLimit: acknowledged}];
+    this.inUse = acknowledged;
   }
 
-  /** What it was told last. */
-  get told(): RateLimit {
-    return this.lists.at(-1)!.terms;
+  get lastSent(): RateLimit {
+    return this.sent.at(-1)!.rateLimit;
   }
 
   /**
-   * The most that the counter may still keep to. Guard: a list may be lost or
-   * late; a share that is counted as lowered before the counter keeps to less
-   * would be in use twice, and the account over its limit.
+   * Returns the most that the counter may still apply. Guard: a list may be
+   * lost or late. If a lowered share counted before the counter applies it, the
+   * difference would be in use twice and the account exceed its limit.
    */
-  most(now: number): RateLimit {
-    const {inUse, stray} = this;
-    return stray ? plus(inUse, this.strayAt(now)) : inUse;
+  maxInUse(now: number): RateLimit {
+    const {inUse, outstanding} = this;
+    return outstanding ? add(inUse, this.outstandingAt(now)) : inUse;
   }
 
-  /** Permits that an earlier life of the counter gave and that may be out. */
-  strayAt(now: number): RateLimit {
-    if (!this.stray || now >= this.stray.until) return NO_SHARE;
-    return {perSecond: 0, depth: this.stray.depth};
+  /** Permits from before the counter lost its shares that may be in use. */
+  outstandingAt(now: number): RateLimit {
+    if (!this.outstanding || now >= this.outstanding.expiresAt) return NO_SHARE;
+    return {perSecond: 0, depth: this.outstanding.depth};
   }
 
-  tell(terms: RateLimit, number: number): void {
-    this.lists.push({number, terms});
-    this.inUse = greater(this.inUse, terms);
-    this.isNews = false;
+  recordSent(rateLimit: RateLimit, number: number): void {
+    this.sent.push({number, rateLimit});
+    this.inUse = max(this.inUse, rateLimit);
+    this.mustSend = false;
   }
 
-  /** The counter keeps to the list with a number. */
+  /** The counter applied the list with a number. */
   acknowledge(number: number): void {
-    const inForce = this.lists.findLastIndex(one => one.number <= number);
-    if (inForce <= 0) return;
-    this.lists.splice(0, inForce);
-    this.inUse = this.lists
-      .map(({terms}) => terms)
-      .reduce((most, terms) => greater(most, terms));
+    const index = this.sent.findLastIndex(list => list.number <= number);
+    if (index <= 0) return;
+    this.sent.splice(0, index);
+    this.inUse = this.sent
+      .map(({rateLimit}) => rateLimit)
+      .reduce((largest, rateLimit) => max(largest, rateLimit));
   }
 
-  /** The counter lost the share; permits that it gave run until a time. */
-  lose(until: number, now: number): void {
-    this.stray = {depth: this.most(now).depth * PERMIT_PART, until};
-    this.lists = [{number: 0, terms: NO_SHARE}];
+  /** The counter lost the share; its permits expire at a time. */
+  onDidLose(expiresAt: number, now: number): void {
+    this.outstanding = {
+      depth: this.maxInUse(now).depth * OUTSTANDING_FRACTION,
+      expiresAt,
+    };
+    this.sent = [{number: 0, rateLimit: NO_SHARE}];
     this.inUse = NO_SHARE;
-    this.isNews = true;
+    this.mustSend = true;
   }
 }
--- a/src/services/account/node/account_limits.ts
+++ b/src/services/account/node/account_limits.ts
@@ -9,97 +9,90 @@
   PermitLookup,
   RefusedPermit,
 } from '../common/permit_counting';
-import {PermitQuestion} from '../common/refusal_tracker';
+import {RefusalTracker} from '../common/refusal_tracker';
 import type {CounterClient} from './counter_directory';
-import type {OperationLimits, LimitRefusal} from './operation_limits';
-
-/**
- * A link that is being opened is waited for so long, in milliseconds, before a
- * counter of another region is asked.
- */
-const CONNECT_WAIT_MS = 60;
-/** While no counter can be asked, one is looked for this often, in ms. */
-const LOOK_MS = 15;
-/** Where none decided on an account they are asked again, in ms. */
-const ROUND_MS = 100;
-/**
- * Whoever found no counter is asked to come back after this, in milliseconds:
- * links are opened anew, and counters get their shares, within about that.
- */
+import type {LimitRefusal, OperationLimits} from './operation_limits';
+
+/** Then a counter of another region gets the request instead. */
+const MAX_LINK_WAIT_MS = 60;
+/** Interval of checks for a counter while none is available. */
+const POLL_INTERVAL_MS = 15;
+/** Time until all counters are tried again if none made a decision. */
+const ROUND_INTERVAL_MS = 100;
+/** Long enough to reopen a link, or for a new counter to get its shares. */
 const NO_COUNTER_RETRY_MS = 200;
 
-/** The newest word of a counter about an account. */
-interface Word {
+/** The last answer of a counter about an account, for the log. */
+interface LastAnswer {
   readonly counter: string;
   readonly answer: string;
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
-type Asking = Extract<PermitLookup, {kind: 'ask'}>;
+type PermitRequest = Extract<PermitLookup, {kind: 'request'}>;
 
-/** A decision, and since when it counts. */
-interface Decided {
+interface TimedDecision {
   readonly decision: GrantedPermits | RefusedPermit;
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
 /**
- * Keeps accounts to their limits at the proxy that their callers came to: by
- * permits in hand, by what a counter said a moment ago, or by asking one.
+ * Applies the limits of accounts at the proxy that their callers connect to:
+ * with cached permits, with a cached refusal, or by a request to a counter.
  */
 export class AccountLimits implements OperationLimits {
-  private limited: ReadonlySet<string> = new Set();
-  private readonly words = new Map<string, Word>();
-  /** Who granted last, to give back what did not run. */
-  private readonly granters = new Map<string, string>();
+  private limitedAccounts: ReadonlySet<string> = new Set();
+  private readonly lastAnswers = new Map<string, LastAnswer>();
+  /** The instance that last granted permits, by account. */
+  private readonly lastGranters = new Map<string, string>();
 
   constructor(
-    private readonly book: PermitCache,
+    private readonly permits: PermitCache,
     private readonly counters: CounterClient,
     private readonly clock: Clock,
   ) {}
 
-  /** Takes the accounts in force; those without a limit are never asked for. */
+  /** Takes the accounts of a catalog; those without a limit always pass. */
   setAccounts(accounts: readonly AccountEntry[]): void {
     const limited = accounts.filter(({limit}) => limit !== undefined);
-    this.limited = new Set(limited.map(({account}) => account));
-    for (const kept of [this.words, this.granters]) {
-      for (const account of kept.keys()) {
-        if (!this.limited.has(account)) kept.delete(account);
+    this.limitedAccounts = new Set(limited.map(({account}) => account));
+    for (const byAccount of [this.lastAnswers, this.lastGranters]) {
+      for (const account of byAccount.keys()) {
+        if (!this.limitedAccounts.has(account)) byAccount.delete(account);
       }
     }
   }
 
   *admit(account: string, deadline: number): Task<Result<void, LimitRefusal>> {
-    if (!this.limited.has(account)) return ok(undefined);
-    const known = this.book.tryTake(account, this.clock.now());
-    switch (known.kind) {
+    if (!this.limitedAccounts.has(account)) return ok(undefined);
+    const lookup = this.permits.tryTake(account, this.clock.now());
+    switch (lookup.kind) {
       case 'taken':
         return ok(undefined);
       case 'refused':
-        return this.refuse(account, known.retryAfterMs);
-      case 'ask':
-        return yield* this.askFor(account, known, deadline);
+        return this.refuse(account, lookup.retryAfterMs);
+      case 'request':
+        return yield* this.requestPermits(account, lookup, deadline);
     }
   }
 
   refund(account: string): void {
-    if (!this.limited.has(account)) return;
-    if (this.book.returnPermit(account, this.clock.now())) return;
-    const granter = this.granters.get(account);
+    if (!this.limitedAccounts.has(account)) return;
+    if (this.permits.returnPermit(account, this.clock.now())) return;
+    const granter = this.lastGranters.get(account);
     if (granter !== undefined) this.counters.returnPermits(granter, account, 1);
   }
 
-  private *askFor(
+  private *requestPermits(
     account: string,
-    asking: Asking,
+    request: PermitRequest,
     deadline: number,
   ): Task<Result<void, LimitRefusal>> {
-    const decided = yield* this.decide(account, asking, deadline);
+    const decided = yield* this.requestDecision(account, request, deadline);
     if (!decided) return this.refuseWithoutCounter(account);
-    const {decision, askedAt} = decided;
+    const {decision, requestedAt} = decided;
     const now = this.clock.now();
-    this.book.onDidReceiveDecision(account, askedAt, decision, now);
+    this.permits.onDidReceiveDecision(account, requestedAt, decision, now);
     if (decision.kind === 'refused') {
       return this.refuse(account, decision.retryAfterMs);
     }
@@ -107,71 +100,68 @@
     if (waitMs <= 0) return ok(undefined);
     const isInTime = now + waitMs <= deadline;
     if (isInTime) yield* pause(waitMs);
-    const isValid = this.clock.now() <= askedAt + validMs + waitMs;
+    const isValid = this.clock.now() <= requestedAt + validMs + waitMs;
     if (isInTime && isValid) return ok(undefined);
     this.refund(account);
     return this.refuse(account, waitMs);
   }
 
-  /** Asks one counter after the other; undefined where none decides in time. */
-  private *decide(
+  /** Tries counters in turn; undefined where none decides by the deadline. */
+  private *requestDecision(
     account: string,
-    {wanted, further}: Asking,
+    {wanted, maxFurtherCounters}: PermitRequest,
     deadline: number,
-  ): Task<Decided | undefined> {
+  ): Task<TimedDecision | undefined> {
     const {clock, counters} = this;
-    const since = clock.now();
-    const passed = new Set<string>();
-    const question = new PermitQuestion(further);
-    while (clock.now() < deadline && question.mayGoOn) {
-      const askedAt = clock.now();
-      const mayWait = askedAt - since < CONNECT_WAIT_MS;
-      const counter = counters.choose(account, {
-        excluded: passed,
-        canWaitForLink: mayWait,
-      });
+    const startedAt = clock.now();
+    const excluded = new Set<string>();
+    const refusals = new RefusalTracker(maxFurtherCounters);
+    while (clock.now() < deadline && refusals.canTryAnother) {
+      const requestedAt = clock.now();
+      const canWaitForLink = requestedAt - startedAt < MAX_LINK_WAIT_MS;
+      const counter = counters.choose(account, {excluded, canWaitForLink});
       if (counter === undefined) {
-        if (question.refusalAt(askedAt)) break;
-        yield* pause(passed.size > 0 ? ROUND_MS : LOOK_MS);
-        passed.clear();
-      } else if (counter === 'soon') {
-        yield* pause(LOOK_MS);
+        if (refusals.refusalAt(requestedAt)) break;
+        yield* pause(excluded.size > 0 ? ROUND_INTERVAL_MS : POLL_INTERVAL_MS);
+        excluded.clear();
+      } else if (counter === 'connecting') {
+        yield* pause(POLL_INTERVAL_MS);
       } else {
-        passed.add(counter.instance);
-        const decision = yield* this.askOne(counter, account, wanted);
-        if (decision?.kind === 'granted') return {decision, askedAt};
-        if (decision?.kind === 'refused') question.onRefused(askedAt, decision);
+        excluded.add(counter.instance);
+        const decision = yield* this.requestFrom(counter, account, wanted);
+        if (decision?.kind === 'granted') return {decision, requestedAt};
+        if (decision?.kind === 'refused') refusals.add(requestedAt, decision);
       }
     }
     const now = clock.now();
-    const refusal = question.refusalAt(now);
-    return refusal && {decision: refusal, askedAt: now};
+    const refusal = refusals.refusalAt(now);
+    return refusal && {decision: refusal, requestedAt: now};
   }
 
   /**
-   * Guard: a proxy that was frozen reads answers of seconds ago. Run then, its
-   * operations would come on top of what the counter granted since, and an
-   * account would run beyond its limit.
+   * Guard: a proxy that was frozen reads answers that are seconds old. Used
+   * then, their permits would add to what the counter granted since, and the
+   * account would exceed its limit.
    */
-  private *askOne(
+  private *requestFrom(
     counter: CounterEntry,
     account: string,
     wanted: number,
   ): Task<PermitDecision | undefined> {
     const {instance} = counter;
-    const askedAt = this.clock.now();
-    const asked = this.counters.requestPermits(counter, account, wanted);
-    const done = yield* settled(asked);
+    const requestedAt = this.clock.now();
+    const pending = this.counters.requestPermits(counter, account, wanted);
+    const done = yield* settled(pending);
     const decision = 'value' in done ? done.value : undefined;
     const answer = describe(decision);
-    const at = this.clock.now();
-    this.words.set(account, {counter: instance, answer, at});
+    const receivedAt = this.clock.now();
+    this.lastAnswers.set(account, {counter: instance, answer, receivedAt});
     if (decision?.kind !== 'granted') return decision;
-    if (at > askedAt + decision.validMs) {
+    if (receivedAt > requestedAt + decision.validMs) {
       this.counters.returnPermits(instance, account, decision.count);
       return undefined;
     }
-    this.granters.set(account, instance);
+    this.lastGranters.set(account, instance);
     return decision;
   }
 
@@ -179,9 +169,9 @@
     account: string,
     retryAfterMs: number,
   ): Result<void, LimitRefusal> {
-    const whole = Math.ceil(retryAfterMs);
+    const rounded = Math.ceil(retryAfterMs);
     const detail = this.detailOf(account);
-    return err({reason: 'over its limit', retryAfterMs: whole, detail});
+    return err({reason: 'over its limit', retryAfterMs: rounded, detail});
   }
 
   private refuseWithoutCounter(account: string): Result<void, LimitRefusal> {
@@ -190,12 +180,11 @@
     return err({reason: 'no counter', retryAfterMs, detail});
   }
 
-  /** What decided: the counter's newest word, and how old it is. */
   private detailOf(account: string): string {
-    const word = this.words.get(account);
-    if (!word) return 'counter=none';
-    const age = Math.round(this.clock.now() - word.at);
-    return `counter=${word.counter} answer="${word.answer}" age=${age}ms`;
+    const last = this.lastAnswers.get(account);
+    if (!last) return 'counter=none';
+    const age = Math.round(this.clock.now() - last.receivedAt);
+    return `counter=${last.counter} answer="${last.answer}" age=${age}ms`;
   }
 }
 
@@ -204,7 +193,7 @@
     case 'granted':
       return `${decision.count} after ${decision.waitMs} ms`;
     case 'refused':
-      return `room in ${decision.retryAfterMs} ms`;
+      return `retry after ${decision.retryAfterMs} ms`;
     default:
       return decision?.kind ?? 'no answer';
   }
--- a/src/services/account/node/counter_directory.ts
+++ b/src/services/account/node/counter_directory.ts
@@ -4,58 +4,58 @@
 import {
   chooseCounter,
   rankCounters,
-  type ProxyRegion,
-  type CounterState,
   type CounterChoiceOptions,
+  type CounterState,
+  type ProxyRegion,
 } from '../common/counter_choice';
 import type {PermitDecision} from '../common/permit_counting';
 import {CounterLink} from './counter_link';
 import type {LocalCounter} from './local_counter';
 
-/** Where this proxy is. */
+/** This proxy and its place among sites and regions. */
 export interface LocalProxy extends ProxyRegion {
   readonly instance: string;
 }
 
-/** The counters that a proxy can ask. */
+/** Sends requests to the counters of accounts. */
 export interface CounterClient {
-  /** Who is asked next about an account; undefined for nobody. */
+  /**
+   * Returns the counter to try next, 'connecting' to wait for the link to it,
+   * or undefined where none is available.
+   */
   choose(
     account: string,
-    wish: CounterChoiceOptions,
-  ): CounterEntry | 'soon' | undefined;
-  /** Asks one that was chosen; undefined where it does not answer in time. */
+    options: CounterChoiceOptions,
+  ): CounterEntry | 'connecting' | undefined;
+  /** Requests permits; undefined where no decision arrives in time. */
   requestPermits(
     counter: CounterEntry,
     account: string,
     wanted: number,
   ): Promise<PermitDecision | undefined>;
-  /** Operations that a counter granted did not run. */
+  /** Returns permits of operations that did not run to their counter. */
   returnPermits(instance: string, account: string, count: number): void;
 }
 
-/**
- * A counter of the region answers within some milliseconds unless it hangs, in
- * milliseconds; another one has to be asked in time.
- */
-const NEAR_ANSWER_MS = 60;
-/** The same with a way between regions and back. */
-const FAR_ANSWER_MS = 150;
-/** A counter that could not be reached is tried again after this, in ms. */
-const RETRY_MS = 300;
-/** Orders that are kept; some thousand accounts. */
-const MOST_RANKS = 4_096;
+/** Leaves time to try another counter. */
+const REGION_ANSWER_TIMEOUT_MS = 60;
+/** Includes a round trip between regions. */
+const REMOTE_ANSWER_TIMEOUT_MS = 150;
+const RECONNECT_DELAY_MS = 300;
+/** Bounds the cached rankings, one for each account. */
+const MAX_CACHED_RANKINGS = 4_096;
 
-/** The counters that this proxy asks, and its links to them. */
+/** The current counters, and this proxy's links to them. */
 export class CounterDirectory implements CounterClient {
   private counters: readonly CounterEntry[] = [];
-  private readonly ranked = new Map<string, CounterEntry[]>();
+  private readonly rankings = new Map<string, CounterEntry[]>();
   private readonly links = new Map<string, CounterLink>();
+  /** Addresses that are not connected to again yet. */
   private readonly paused = new Set<string>();
 
   constructor(
-    private readonly here: LocalProxy,
-    private readonly local: LocalCounter,
+    private readonly localProxy: LocalProxy,
+    private readonly localCounter: LocalCounter,
     private readonly log: Log,
     private readonly signal: AbortSignal,
   ) {}
@@ -63,26 +63,26 @@
   setCounters(counters: readonly CounterEntry[]): void {
     if (counters.length + this.counters.length === 0) return;
     this.counters = counters;
-    this.ranked.clear();
+    this.rankings.clear();
     const names = counters.map(({instance, retiring}) => {
       return retiring ? `${instance} (retiring)` : instance;
     });
-    this.log.info('Learns of the counters.', {counters: names.join(' ')});
+    this.log.info('The counters changed.', {counters: names.join(' ')});
     const listed = new Set(counters.map(({address}) => address));
     for (const [address, link] of this.links) {
       if (!listed.has(address)) link.close();
     }
-    this.tend();
+    this.openRegionLinks();
   }
 
   choose(
     account: string,
-    wish: CounterChoiceOptions,
-  ): CounterEntry | 'soon' | undefined {
+    options: CounterChoiceOptions,
+  ): CounterEntry | 'connecting' | undefined {
     return chooseCounter(
-      this.rank(account),
+      this.rankingOf(account),
       entry => this.stateOf(entry),
-      wish,
+      options,
     );
   }
 
@@ -91,49 +91,51 @@
     account: string,
     wanted: number,
   ): Promise<PermitDecision | undefined> {
-    if (instance === this.here.instance) {
-      return Promise.resolve(this.local.requestPermits(account, wanted));
+    if (instance === this.localProxy.instance) {
+      return Promise.resolve(this.localCounter.requestPermits(account, wanted));
     }
     const link = this.links.get(address);
     if (!link) return Promise.resolve(undefined);
-    const timeMs = this.isNear(site) ? NEAR_ANSWER_MS : FAR_ANSWER_MS;
-    return link.ask(account, wanted, timeMs);
+    const timeoutMs = this.isInRegion(site)
+      ? REGION_ANSWER_TIMEOUT_MS
+      : REMOTE_ANSWER_TIMEOUT_MS;
+    return link.requestPermits(account, wanted, timeoutMs);
   }
 
   returnPermits(instance: string, account: string, count: number): void {
-    if (instance === this.here.instance) {
-      return this.local.returnPermits(account, count);
+    if (instance === this.localProxy.instance) {
+      return this.localCounter.returnPermits(account, count);
     }
-    const entry = this.counters.find(other => other.instance === instance);
-    if (entry) this.links.get(entry.address)?.giveBack(account, count);
+    const entry = this.counters.find(entry => entry.instance === instance);
+    if (entry) this.links.get(entry.address)?.returnPermits(account, count);
   }
 
-  private isNear(site: string): boolean {
-    const {here} = this;
-    return here.regionOf(site) === here.regionOf(here.site);
+  private isInRegion(site: string): boolean {
+    const {localProxy} = this;
+    return localProxy.regionOf(site) === localProxy.regionOf(localProxy.site);
   }
 
-  private rank(account: string): readonly CounterEntry[] {
-    const known = this.ranked.get(account);
+  private rankingOf(account: string): readonly CounterEntry[] {
+    const known = this.rankings.get(account);
     if (known) return known;
-    const ranked = rankCounters(this.counters, account, this.here);
-    if (this.ranked.size >= MOST_RANKS) this.ranked.clear();
-    this.ranked.set(account, ranked);
-    return ranked;
+    const ranking = rankCounters(this.counters, account, this.localProxy);
+    if (this.rankings.size >= MAX_CACHED_RANKINGS) this.rankings.clear();
+    this.rankings.set(account, ranking);
+    return ranking;
   }
 
-  /** Opens a link where there is none: the counter is about to be asked. */
+  /** Also opens a missing link, as the counter is about to get a request. */
   private stateOf({instance, address}: CounterEntry): CounterState {
-    if (instance === this.here.instance) return 'here';
+    if (instance === this.localProxy.instance) return 'local';
     this.open(address);
     return this.links.get(address)?.state ?? 'closed';
   }
 
-  /** Keeps links to the counters of the region. */
-  private tend(): void {
+  /** Keeps links to the counters of the region open. */
+  private openRegionLinks(): void {
     for (const {instance, address, site, retiring} of this.counters) {
-      const isOwn = instance === this.here.instance;
-      if (!isOwn && !retiring && this.isNear(site)) this.open(address);
+      const isOwn = instance === this.localProxy.instance;
+      if (!isOwn && !retiring && this.isInRegion(site)) this.open(address);
     }
   }
 
@@ -143,9 +145,9 @@
     const onDidClose = () => {
       this.links.delete(address);
       this.paused.add(address);
-      after(this.signal, RETRY_MS, () => {
+      after(this.signal, RECONNECT_DELAY_MS, () => {
         this.paused.delete(address);
-        this.tend();
+        this.openRegionLinks();
       });
     };
     const link = new CounterLink(address, this.log, this.signal, onDidClose);
--- a/src/services/account/node/counter_link.ts
+++ b/src/services/account/node/counter_link.ts
@@ -11,22 +11,22 @@
 import {decodeDecision} from '../common/permit_messages';
 import {COUNTER_PROTOCOL} from './counter_protocol';
 
-interface Question {
+interface PendingRequest {
   readonly account: string;
-  /** Undefined once its asker gave it up. */
+  /** Undefined once the request timed out. */
   settle: ((decision: PermitDecision | undefined) => void) | undefined;
 }
 
-/** Questions without an answer; more says that the counter stalls. */
-const MOST_QUESTIONS = 4_096;
+/** With more pending requests the counter counts as unresponsive. */
+const MAX_PENDING_REQUESTS = 4_096;
 
 /** This proxy's stream to one counter. */
 export class CounterLink {
   private readonly link: MessageLink<CounterRequest, CounterResponse>;
-  private readonly questions = new Map<number, Question>();
+  private readonly pending = new Map<number, PendingRequest>();
   private readonly ended;
   private lastNumber = 0;
-  private isSilent = false;
+  private isUnresponsive = false;
 
   constructor(
     readonly address: string,
@@ -43,76 +43,78 @@
     });
   }
 
-  get state(): Exclude<CounterState, 'here'> {
+  get state(): Exclude<CounterState, 'local'> {
     if (this.ended.signal.aborted) return 'closed';
     if (!this.link.hasOpened) return 'connecting';
-    const isFull = this.questions.size >= MOST_QUESTIONS;
-    return this.isSilent || isFull ? 'silent' : 'ready';
+    const isFull = this.pending.size >= MAX_PENDING_REQUESTS;
+    return this.isUnresponsive || isFull ? 'unresponsive' : 'ready';
   }
 
-  /** Asks for permits; undefined where no answer comes within a time, in ms. */
-  ask(
+  /** Requests permits; undefined where no answer arrives in time. */
+  requestPermits(
     account: string,
     wanted: number,
-    timeMs: number,
+    timeoutMs: number,
   ): Promise<PermitDecision | undefined> {
     if (this.state !== 'ready') return Promise.resolve(undefined);
     const number = ++this.lastNumber;
     return new Promise(resolve => {
-      const cancel = after(this.ended.signal, timeMs, () => {
-        this.giveUp(number);
+      const cancel = after(this.ended.signal, timeoutMs, () => {
+        this.onTimeout(number);
       });
       const settle = (decision: PermitDecision | undefined) => {
         cancel();
         resolve(decision);
       };
-      this.questions.set(number, {account, settle});
+      this.pending.set(number, {account, settle});
       const value = {number, account, wanted};
       this.link.write({body: {$case: 'permit', value}});
     });
   }
 
-  giveBack(account: string, count: number): void {
+  returnPermits(account: string, count: number): void {
     const value = {account, count};
     this.link.write({body: {$case: 'returned', value}});
   }
 
   close(): void {
-    this.end('not needed any more');
+    this.end('the counter was removed');
   }
 
   /**
-   * Passes the counter over until something is heard of it. Guard: a counter
-   * that hangs would else cost each operation the time that it is waited for.
+   * Excludes the counter until something is received from it. Guard: each
+   * operation would otherwise wait for the timeout of a hung counter.
    */
-  private giveUp(number: number): void {
-    const question = this.questions.get(number);
-    if (!question?.settle) return;
-    const {settle} = question;
-    question.settle = undefined;
-    if (!this.isSilent) {
-      this.log.warn('A counter does not answer.', {address: this.address});
+  private onTimeout(number: number): void {
+    const request = this.pending.get(number);
+    if (!request?.settle) return;
+    const {settle} = request;
+    request.settle = undefined;
+    if (!this.isUnresponsive) {
+      this.log.warn('A counter did not answer in time.', {
+        address: this.address,
+      });
     }
-    this.isSilent = true;
+    this.isUnresponsive = true;
     settle(undefined);
   }
 
   private onMessage({body}: CounterResponse): void {
-    if (this.isSilent) {
+    if (this.isUnresponsive) {
       this.log.info('A counter answers again.', {address: this.address});
     }
-    this.isSilent = false;
+    this.isUnresponsive = false;
     if (body?.$case === 'reply') this.onReply(body.value);
   }
 
   private onReply(reply: PermitReply): void {
-    const question = this.questions.get(reply.number);
-    this.questions.delete(reply.number);
-    if (!question) return;
-    const {account, settle} = question;
+    const request = this.pending.get(reply.number);
+    this.pending.delete(reply.number);
+    if (!request) return;
+    const {account, settle} = request;
     if (settle) return settle(decodeDecision(reply));
-    // Whoever asked went to another counter: nothing runs with these.
-    if (reply.granted > 0) this.giveBack(account, reply.granted);
+    // The request timed out, and the operation tried another counter.
+    if (reply.granted > 0) this.returnPermits(account, reply.granted);
   }
 
   private end(reason: string): void {
@@ -124,8 +126,8 @@
   }
 
   private settleAll(): void {
-    const questions = [...this.questions.values()];
-    this.questions.clear();
-    for (const {settle} of questions) settle?.(undefined);
+    const requests = [...this.pending.values()];
+    this.pending.clear();
+    for (const {settle} of requests) settle?.(undefined);
   }
 }
--- a/src/services/account/node/counter_protocol.ts
+++ b/src/services/account/node/counter_protocol.ts
@@ -4,12 +4,12 @@
   CounterResponse,
 } from '../../../schema/generated/account';
 
-/** What a proxy and a counter of its accounts' operations say to each other. */
+/** Requests for permits from proxies to counters, and their answers. */
 export const COUNTER_PROTOCOL: LinkProtocol<CounterRequest, CounterResponse> = {
   name: 'counter',
   requests: CounterRequest,
   responses: CounterResponse,
-  // A counter that does not answer is passed over by its proxies long before:
-  // this only ends links to one that vanished.
+  // Only closes links to vanished counters; proxies exclude an unresponsive one
+  // long before.
   silenceMs: 2_000,
 };
--- a/src/services/account/node/counter_server.ts
+++ b/src/services/account/node/counter_server.ts
@@ -11,25 +11,28 @@
 
 type Link = MessageLink<CounterResponse, CounterRequest>;
 
-/** A counter's side: answers the questions of other proxies at once. */
+/** Answers requests for permits from other proxies. */
 export class CounterServer {
   constructor(
     private readonly counter: LocalCounter,
     private readonly log: Log,
   ) {}
 
-  /** Takes the links of other proxies. */
+  /** Accepts links of the counter protocol on a server. */
   serve(server: MessageServer): void {
-    server.serve(COUNTER_PROTOCOL, link => this.onServe(link));
+    server.serve(COUNTER_PROTOCOL, link => this.onDidConnect(link));
   }
 
-  private onServe(link: Link): void {
+  private onDidConnect(link: Link): void {
     const address = link.peer;
-    this.log.info('A proxy asks for permits here.', {address});
+    this.log.info('A proxy connected to this counter.', {address});
     link.start({
       onDidReceive: message => this.onMessage(link, message),
       onDidEnd: reason => {
-        this.log.info('A proxy asks for no more permits.', {address, reason});
+        this.log.info('A proxy disconnected from this counter.', {
+          address,
+          reason,
+        });
       },
     });
   }
--- a/src/services/account/node/key_digest.ts
+++ b/src/services/account/node/key_digest.ts
@@ -1,14 +1,14 @@
 import {createHash} from 'node:crypto';
 
-/** 128 bits: two keys of a deployment never share a digest by chance. */
+/** 128 bits, so that two keys of a deployment never share a digest. */
 const DIGEST_CHARACTERS = 22;
 
 /**
- * The digest by which a caller's key is looked up.
+ * Returns the digest by which a caller's key is looked up.
  *
- * Guard: proxies hold digests only, so that no memory, log or catalog of theirs
- * gives a key away, and the time that a look-up takes says nothing of how much
- * of a key was right. Keys are long and random, so a plain hash is enough.
+ * Guard: proxies store digests only, so that their memory, logs and catalogs
+ * reveal no key, and the duration of a look-up does not depend on the key. Keys
+ * are long and random, so an unsalted hash is enough.
  */
 export function digestOfKey(key: string): string {
   const digest = createHash('sha256').update(key).digest('base64');
--- a/src/services/account/node/local_counter.ts
+++ b/src/services/account/node/local_counter.ts
@@ -2,7 +2,7 @@
 import type {PermitCounter, PermitDecision} from '../common/permit_counting';
 import {PermitTotals} from '../common/permit_totals';
 
-/** This proxy as a counter, for other proxies and for its own callers. */
+/** The counter in this process, for other proxies and for its own callers. */
 export class LocalCounter {
   private readonly totals = new PermitTotals();
 
@@ -16,19 +16,19 @@
 
   requestPermits(account: string, wanted: number): PermitDecision {
     const decision = this.counter.requestPermits(account, wanted);
-    this.totals.onDecided(decision, this.clock.now());
+    this.totals.onDidDecide(decision, this.clock.now());
     return decision;
   }
 
   returnPermits(account: string, count: number): void {
     this.counter.returnPermits(account, count);
-    this.totals.onReturned(count);
+    this.totals.onDidReturn(count);
   }
 
-  /** Its metrics as text, in the usual format. */
+  /** Returns its metrics in the Prometheus text format. */
   renderMetrics(): string {
     const {granted, refused, returned, waitedFor} = this.totals;
-    const out = this.totals.out(this.clock.now());
+    const outstanding = this.totals.outstanding(this.clock.now());
     return [
       '# TYPE bulrushstage_permits_granted_total counter',
       `bulrushstage_permits_granted_total ${granted}`,
@@ -39,7 +39,7 @@
       '# TYPE bulrushstage_permits_waited_for_total counter',
       `bulrushstage_permits_waited_for_total ${waitedFor}`,
       '# TYPE bulrushstage_permits_out gauge',
-      `bulrushstage_permits_out ${out}`,
+      `bulrushstage_permits_out ${outstanding}`,
       '',
     ].join('\n');
   }
--- a/src/services/account/node/operation_limits.ts
+++ b/src/services/account/node/operation_limits.ts
@@ -3,22 +3,23 @@
 
 /** Why an operation of an account may not run now. */
 export interface LimitRefusal {
-  /** Without a counter nobody knows whether it is over its limit. */
+  /** 'no counter' where no counter made a decision in time. */
   readonly reason: 'over its limit' | 'no counter';
-  /** When the account has room again, in milliseconds. */
+  /** When the caller should retry, in milliseconds. */
   readonly retryAfterMs: number;
-  /** What decided, for the log. */
+  /** The last answer of a counter, for the log. */
   readonly detail: string;
 }
 
-/** Decides at the first proxy whether an operation of an account may run. */
+/** Admits operations of accounts at the proxy that callers connect to. */
 export interface OperationLimits {
   /**
-   * Counts an operation in, or says when there is room for it. Waits for the
-   * word of the account's counter, and for a token that comes soon, until a
-   * deadline on the proxy's clock.
+   * Admits an operation, or returns when the caller should retry. Waits for a
+   * decision of a counter, and for a token that is added soon.
+   *
+   * @param deadline How long to wait, as a time on the proxy's clock.
    */
   admit(account: string, deadline: number): Task<Result<void, LimitRefusal>>;
-  /** An operation that was counted in did not run after all. */
+  /** Reverses the admission of an operation that did not run. */
   refund(account: string): void;
 }
--- a/src/services/account/test/common/account_counter.test.ts
+++ b/src/services/account/test/common/account_counter.test.ts
@@ -10,7 +10,7 @@
 const LIMIT = {perSecond: 1_000, burst: 1_000};
 const ENTRY = {account: ACCOUNT, keyDigests: [], limit: LIMIT};
 
-/** A counter with a share, at a time when its bucket is still empty. */
+/** Returns a counter with a share and an empty bucket. */
 function makeCounter(perSecond: number, depth: number) {
   const clock = new ManualClock(1_000_000);
   const counter = new AccountCounter(clock);
@@ -18,15 +18,15 @@
   const share = {account: ACCOUNT, perSecond, depth, tokens: 0};
   counter.setShares({shares: [share], number: 1});
   counter.extendLease(clock.now());
-  /** Time passes while control confirms the lease. */
-  const pass = (milliseconds: number) => {
+  /** Advances the clock and extends the lease. */
+  const advance = (milliseconds: number) => {
     clock.advance(milliseconds);
     counter.extendLease(clock.now());
   };
-  return {clock, counter, pass};
+  return {clock, counter, advance};
 }
 
-/** Asks until nothing is granted at once; how many operations were. */
+/** Requests permits until a request has to wait; returns their number. */
 function drain(counter: AccountCounter, wanted = 1): number {
   for (let count = 0; ;) {
     const decision = counter.requestPermits(ACCOUNT, wanted);
@@ -36,42 +36,41 @@
 }
 
 describe('a counter', () => {
-  it('has no tokens for a new share', () => {
-    const {counter, pass} = makeCounter(1, 10);
+  it('starts a new share without tokens', () => {
+    const {counter, advance} = makeCounter(1, 10);
     expect(counter.requestPermits(ACCOUNT, 1).kind).toBe('refused');
-    pass(5_000);
+    advance(5_000);
     expect(drain(counter)).toBe(5);
   });
 
-  it('has no tokens for a raised share', () => {
-    const {counter, pass} = makeCounter(1, 2);
-    pass(5_000);
+  it('adds no tokens when a share is raised', () => {
+    const {counter, advance} = makeCounter(1, 2);
+    advance(5_000);
     const raised = {account: ACCOUNT, perSecond: 1, depth: 100, tokens: 0};
     counter.setShares({shares: [raised], number: 2});
     expect(drain(counter)).toBe(2);
   });
 
-  it('knows no account without a share, or with none that runs anything', () => {
+  it('does not know accounts without a share or with an empty one', () => {
     const {counter} = makeCounter(0, 0);
     expect(counter.requestPermits(ACCOUNT, 1).kind).toBe('unknown account');
     expect(counter.requestPermits('moss', 1).kind).toBe('unknown account');
   });
 
-  it('tells an account when it has room again', () => {
-    // At 10/s a token comes each 100 ms. What comes soon is waited for.
-    const {counter, pass} = makeCounter(10, 10);
+  it('returns when a token is available', () => {
+    const {counter, advance} = makeCounter(10, 10);
     const first = counter.requestPermits(ACCOUNT, 1);
     expect(first).toMatchObject({kind: 'granted', count: 1, waitMs: 100});
     const second = counter.requestPermits(ACCOUNT, 1);
     expect(second).toMatchObject({kind: 'refused', retryAfterMs: 200});
-    pass(200);
+    advance(200);
     expect(counter.requestPermits(ACCOUNT, 1)).toMatchObject({
       kind: 'granted',
       waitMs: 0,
     });
   });
 
-  it('tells each one that it refuses of a token of its own', () => {
+  it('gives each refused caller a retry time of its own', () => {
     const {clock, counter} = makeCounter(4, 20);
     const times: number[] = [];
     for (let count = 0; count < 8; count++) {
@@ -80,45 +79,44 @@
     }
     expect(times).toEqual([250, 500, 750, 1_000, 1_250, 1_500, 1_750, 2_000]);
     const startedAt = clock.now();
-    for (const time of times) {
-      clock.advance(startedAt + time - clock.now());
+    for (const retryAfterMs of times) {
+      clock.advance(startedAt + retryAfterMs - clock.now());
       expect(counter.requestPermits(ACCOUNT, 1).kind).toBe('granted');
     }
   });
 
-  it('reserves no more than what comes soon', () => {
+  it('reserves only tokens that are added soon', () => {
     const {counter} = makeCounter(100, 100);
-    const asked = Array.from({length: 50}, () =>
+    const decisions = Array.from({length: 50}, () =>
       counter.requestPermits(ACCOUNT, 1),
     );
-    const granted = asked.filter(({kind}) => kind === 'granted');
+    const granted = decisions.filter(({kind}) => kind === 'granted');
     expect(granted.length).toBe(15);
   });
 
-  it('gives permits beyond the first while plenty of tokens wait', () => {
-    const {counter, pass} = makeCounter(10, 40);
-    pass(5_000);
+  it('grants further permits while many tokens are available', () => {
+    const {counter, advance} = makeCounter(10, 40);
+    advance(5_000);
     const first = counter.requestPermits(ACCOUNT, 30);
     expect(first).toMatchObject({kind: 'granted', count: 20, validMs: 500});
     expect(counter.requestPermits(ACCOUNT, 30)).toMatchObject({count: 1});
   });
 
-  it('leaves room in the bucket for the permits that are out', () => {
-    // Permits are out for up to half a second. If the bucket filled up
-    // meanwhile, both would run in one span: beyond the depth of the share.
-    const {counter, pass} = makeCounter(1_000, 40);
-    pass(5_000);
+  it('reduces the bucket by the outstanding permits', () => {
+    // Guards against a full bucket besides outstanding permits: both would run
+    // in one window and exceed the depth of the share.
+    const {counter, advance} = makeCounter(1_000, 40);
+    advance(5_000);
     const first = counter.requestPermits(ACCOUNT, 19);
     expect(first).toMatchObject({kind: 'granted', count: 19});
-    pass(400);
+    advance(400);
     expect(drain(counter)).toBe(40 - 18);
-    pass(5_000);
+    advance(5_000);
     expect(drain(counter)).toBe(40);
   });
 
-  it('grants nothing once its lease is over', () => {
-    // Cut off from control, whose other counters get its shares after the
-    // lease.
+  it('grants nothing after its lease expired', () => {
+    // Guards against shares that control grants to other counters.
     const {clock, counter} = makeCounter(10, 10);
     clock.advance(SHARE_LEASE_MS - 1);
     expect(counter.requestPermits(ACCOUNT, 1).kind).toBe('granted');
@@ -128,10 +126,9 @@
     expect(counter.requestPermits(ACCOUNT, 1).kind).toBe('granted');
   });
 
-  it('drops its shares where the lease was over for long', () => {
-    // Control was lost for longer than the lease, and has given this counter's
-    // shares to others since. Were they in force again with the next lease,
-    // the account would run beyond its limit.
+  it('drops its shares some time after the lease expired', () => {
+    // Guards against shares that return to use with the next lease though
+    // control granted them to other counters.
     const {clock, counter} = makeCounter(10, 10);
     clock.advance(SHARE_LEASE_MS + 600);
     expect(counter.shareListNumber).toBe(0);
@@ -139,10 +136,9 @@
     expect(counter.requestPermits(ACCOUNT, 1).kind).toBe('unknown account');
   });
 
-  it('names no shares to a leader after its lease', () => {
-    // The lease is over, and the counter comes to a leader with what it had.
-    // That leader may have given the same to others; named, it would be in use
-    // twice once the next lease is there.
+  it('reports no shares to a leader after its lease expired', () => {
+    // Guards against shares that the leader would take as held, though it
+    // granted them to other counters.
     const {clock, counter} = makeCounter(10, 10);
     const share = {account: ACCOUNT, perSecond: 10, depth: 10, tokens: 0};
     expect(counter.heldShares).toEqual([share]);
@@ -152,10 +148,8 @@
     expect(counter.requestPermits(ACCOUNT, 1).kind).toBe('unknown account');
   });
 
-  it('takes no list of changes after it dropped its shares', () => {
-    // A list of changes was under way when the counter dropped its shares. Kept
-    // to, it would stand for the whole, and callers of all accounts that did
-    // not change would be refused.
+  it('ignores a list of changes after it dropped its shares', () => {
+    // Guards against refusals of all accounts that a late list does not name.
     const {clock, counter} = makeCounter(10, 10);
     clock.advance(SHARE_LEASE_MS + 600);
     counter.setShares({shares: [], number: 2});
@@ -164,9 +158,8 @@
     expect(counter.shareListNumber).toBe(1);
   });
 
-  it('keeps its shares and counts lists anew for another leader', () => {
-    // The leader of control changes. Were the shares gone with it, callers
-    // would be refused until the next leader hands them out.
+  it('keeps its shares for another leader, whose lists start from 1', () => {
+    // Guards against refusals until the next leader of control sends shares.
     const {counter} = makeCounter(10, 10);
     expect(counter.shareListNumber).toBe(1);
     counter.onDidDetach();
@@ -174,21 +167,21 @@
     expect(counter.heldShares.length).toBe(1);
   });
 
-  it('takes back what did not run, as much as was granted of late', () => {
-    const {counter, pass} = makeCounter(1, 10);
-    pass(5_000);
+  it('takes back permits that it granted recently', () => {
+    const {counter, advance} = makeCounter(1, 10);
+    advance(5_000);
     expect(drain(counter)).toBe(5);
     counter.returnPermits(ACCOUNT, 2);
     expect(drain(counter)).toBe(2);
-    pass(2_000);
+    advance(2_000);
     expect(drain(counter)).toBe(2);
     counter.returnPermits(ACCOUNT, 10);
     expect(drain(counter)).toBe(2);
   });
 
   it('reports what it granted and refused, once', () => {
-    const {counter, pass} = makeCounter(1, 10);
-    pass(2_000);
+    const {counter, advance} = makeCounter(1, 10);
+    advance(2_000);
     drain(counter);
     counter.returnPermits(ACCOUNT, 1);
     const use = {account: ACCOUNT, run: 1, refused: 2};
@@ -196,19 +189,19 @@
     expect(counter.takeReport()).toEqual([]);
   });
 
-  it('forgets an account that has no limit any more', () => {
-    const {counter, pass} = makeCounter(10, 10);
-    pass(1_000);
+  it('drops the share of an account that lost its limit', () => {
+    const {counter, advance} = makeCounter(10, 10);
+    advance(1_000);
     counter.setAccounts([{...ENTRY, limit: undefined}]);
     expect(counter.requestPermits(ACCOUNT, 1).kind).toBe('unknown account');
   });
 });
 
-it('has rested for no time while an operation waits for its token', () => {
-  // A flood reserves tokens that are to come. The counter greets a new leader
-  // just then; a rest below 0 cannot be written, and its process ended.
-  const {clock, counter, pass} = makeCounter(10, 1);
-  pass(60);
+it('has an idle time of 0 while an operation waits for its token', () => {
+  // Guards against a negative idle time, which cannot be encoded and ended the
+  // process when the counter attached to a new leader.
+  const {clock, counter, advance} = makeCounter(10, 1);
+  advance(60);
   expect(counter.requestPermits(ACCOUNT, 1)).toMatchObject({
     kind: 'granted',
     waitMs: 40,
@@ -220,28 +213,27 @@
   expect(counter.idleMs).toBe(60_000);
 });
 
-/** A share that a counter may be told, of an account of any size. */
+/** Returns a random share, which may be too small to run anything. */
 function anyShare(random: SeededRandom) {
   const perSecond = random.pick([0, 0.001, 0.3, 1, 70]);
   const depth = random.pick([0, 0.5, 1, 3.8, 30]);
   return {account: ACCOUNT, perSecond, depth, tokens: 0};
 }
 
-it('answers with times that a message can carry', () => {
-  // A flood meets a counter just when its share shrinks. One caller was told to
-  // come back 22 ms ago; a time below 0 cannot be written as a count, and the
-  // process of the counter ended, with all that it served.
+it('answers with times that can be encoded', () => {
+  // Guards against a negative retry time when a share shrinks in a flood, which
+  // cannot be encoded and ended the process of the counter.
   for (let seed = 1; seed <= 300; seed++) {
     const random = new SeededRandom(seed);
     const {clock, counter} = makeCounter(1, 1);
     for (let step = 0, number = 1; step < 200; step++) {
       clock.advance(random.integer(0, 300) / random.pick([1, 7]));
       counter.extendLease(clock.now());
-      const what = random.integer(0, 7);
-      if (what === 0) {
+      const action = random.integer(0, 7);
+      if (action === 0) {
         counter.setShares({shares: [anyShare(random)], number: ++number});
       }
-      if (what === 1) counter.returnPermits(ACCOUNT, random.integer(1, 3));
+      if (action === 1) counter.returnPermits(ACCOUNT, random.integer(1, 3));
       const decision = counter.requestPermits(ACCOUNT, random.integer(1, 20));
       const reply = encodeDecision(1, decision);
       expect(() => PermitReply.encode(reply).finish()).not.toThrow();
--- a/src/services/account/test/common/catalog_lease.test.ts
+++ b/src/services/account/test/common/catalog_lease.test.ts
@@ -5,14 +5,14 @@
 
 const BOUND_MS = 5_000;
 
-/** One proxy and whoever it takes for the leader of control, by random luck. */
-class World {
+/** Simulates a proxy and the leader of control that it follows. */
+class Simulation {
   readonly clock = new ManualClock();
   readonly lease = new CatalogLease(BOUND_MS, this.clock);
-  /** Catalogs that were acknowledged to operators, and when. */
+  /** Versions that were acknowledged to operators, and when. */
   private readonly acknowledged = [{version: 1, at: 0}];
-  private held = 1;
-  private readonly questions: {askedAt: number; newestThen: number}[] = [];
+  private heldVersion = 1;
+  private readonly requests: {sentAt: number; newest: number}[] = [];
 
   constructor(private readonly random: SeededRandom) {}
 
@@ -23,26 +23,29 @@
         return this.publish();
       case 1:
       case 2:
-        return this.ask();
+        return this.sendRequest();
       case 3:
       case 4:
         return this.confirm();
       case 5:
-        // Frozen, suspended, or cut off from control.
+        // The proxy is frozen, suspended or disconnected.
         this.clock.advance(this.random.integer(0, 9_000));
         return;
       default:
-        // A catalog arrives, maybe of a leader that is long deposed.
-        this.held = Math.max(this.held, this.random.integer(1, this.newest));
+        // A catalog arrives, which may be of a deposed leader.
+        this.heldVersion = Math.max(
+          this.heldVersion,
+          this.random.integer(1, this.newest),
+        );
     }
   }
 
-  /** Whether a key that only some version still held would be accepted now. */
+  /** Whether a key would be accepted that a newer version withdrew. */
   acceptsWithdrawnKey(): boolean {
     if (!this.lease.isHeld) return false;
     const now = this.clock.now();
     return this.acknowledged.some(({version, at}) => {
-      return version > this.held && now > at + BOUND_MS;
+      return version > this.heldVersion && now > at + BOUND_MS;
     });
   }
 
@@ -55,39 +58,38 @@
     this.acknowledged.push({version, at: this.clock.now()});
   }
 
-  private ask(): void {
-    const askedAt = this.clock.now();
-    this.questions.push({askedAt, newestThen: this.newest});
+  private sendRequest(): void {
+    const sentAt = this.clock.now();
+    this.requests.push({sentAt, newest: this.newest});
   }
 
-  /** A majority confirms the leader, whose catalog goes ahead of its answer. */
+  /** A majority confirms the leader, which sends its catalog first. */
   private confirm(): void {
-    const question = this.questions.shift();
-    if (!question) return;
-    const told = this.random.integer(question.newestThen, this.newest);
+    const request = this.requests.shift();
+    if (!request) return;
+    const version = this.random.integer(request.newest, this.newest);
     const isLost = this.random.integer(0, 4) === 0;
-    if (!isLost) this.held = Math.max(this.held, told);
-    if (this.held >= told) this.lease.extendLease(question.askedAt);
+    if (!isLost) this.heldVersion = Math.max(this.heldVersion, version);
+    if (this.heldVersion >= version) this.lease.extendLease(request.sentAt);
   }
 }
 
-it('lets no key pass that was withdrawn longer ago than the bound', () => {
-  // An operator withdraws a key and hears that it is done. A proxy was frozen,
-  // cut off, or followed a deposed leader meanwhile, and still has the catalog
-  // with the key. A caller comes with the key after the bound: it must not be
-  // served, whatever the proxy was told and when.
+it('accepts no key after the bound for its withdrawal', () => {
+  // Guards against withdrawn keys at a proxy that was frozen or disconnected,
+  // or followed a deposed leader, and still has the catalog with the key.
   for (let seed = 1; seed <= 400; seed++) {
-    const world = new World(new SeededRandom(seed));
+    const simulation = new Simulation(new SeededRandom(seed));
     for (let step = 0; step < 200; step++) {
-      world.step();
-      expect(world.acceptsWithdrawnKey(), `seed ${seed} ${step}`).toBe(false);
+      simulation.step();
+      expect(simulation.acceptsWithdrawnKey(), `seed ${seed} ${step}`).toBe(
+        false,
+      );
     }
   }
 });
 
-it('serves on for more than 0.6 of the bound after the last word', () => {
-  // A control group without a leader for a few seconds must not stop callers:
-  // until 0.6 of the bound their requests are owed an answer.
+it('is held for more than 0.6 of the bound without control', () => {
+  // Guards against refused callers while control has no leader for a while.
   const clock = new ManualClock();
   const lease = new CatalogLease(BOUND_MS, clock);
   lease.extendLease(clock.now());
@@ -97,6 +99,6 @@
   expect(lease.isHeld).toBe(false);
 });
 
-it('is not needed where no bound is promised', () => {
+it('is always held where there is no bound', () => {
   expect(new CatalogLease(0, new ManualClock()).isHeld).toBe(true);
 });
--- a/src/services/account/test/common/counter_choice.test.ts
+++ b/src/services/account/test/common/counter_choice.test.ts
@@ -21,8 +21,8 @@
   return ranked.map(({instance}) => instance);
 };
 
-describe('the order of counters', () => {
-  it('begins with those of the region, and the same one for all in it', () => {
+describe('the ranking of counters', () => {
+  it('starts with the counters of the region, equally for all proxies', () => {
     for (const account of ['fern', 'oak', 'elm']) {
       const ranked = rank(account);
       expect(ranked.slice(0, 2).sort()).toEqual(['n1', 'n2']);
@@ -31,53 +31,53 @@
     }
   });
 
-  it('divides accounts among the counters of a region', () => {
-    const firsts = Array.from({length: 200}, (...[, at]) => rank(`a-${at}`)[0]);
-    const share = firsts.filter(name => name === 'n1').length / firsts.length;
+  it('distributes accounts among the counters of a region', () => {
+    const first = Array.from({length: 200}, (...[, at]) => rank(`a-${at}`)[0]);
+    const share = first.filter(name => name === 'n1').length / first.length;
     expect(share).toBeGreaterThan(0.25);
     expect(share).toBeLessThan(0.75);
   });
 
-  it('ends with those that are retiring', () => {
-    const leaving = makeCounter('n3', {site: 'north-1', retiring: true});
-    const ranked = rankCounters([leaving, ...COUNTERS], 'fern', here);
-    expect(ranked.at(-1)).toBe(leaving);
+  it('ends with retiring counters', () => {
+    const retiring = makeCounter('n3', {site: 'north-1', retiring: true});
+    const ranked = rankCounters([retiring, ...COUNTERS], 'fern', here);
+    expect(ranked.at(-1)).toBe(retiring);
   });
 });
 
 describe('the choice of a counter', () => {
   const choose = (
     states: Record<string, CounterState>,
-    passed: string[] = [],
-    mayWait = true,
+    excluded: string[] = [],
+    canWaitForLink = true,
   ) => {
-    const looked: string[] = [];
+    const read: string[] = [];
     const chosen = chooseCounter(
       COUNTERS,
       ({instance}) => {
-        looked.push(instance);
+        read.push(instance);
         return states[instance] ?? 'closed';
       },
-      {excluded: new Set(passed), canWaitForLink: mayWait},
+      {excluded: new Set(excluded), canWaitForLink},
     );
-    const name = chosen === 'soon' ? chosen : chosen?.instance;
-    return {chosen: name, looked};
+    const name = chosen === 'connecting' ? chosen : chosen?.instance;
+    return {chosen: name, read};
   };
 
-  it('passes over those that are lost, silent, or gave no decision', () => {
-    expect(choose({n1: 'silent', n2: 'ready'}).chosen).toBe('n2');
+  it('skips counters that are closed, unresponsive or excluded', () => {
+    expect(choose({n1: 'unresponsive', n2: 'ready'}).chosen).toBe('n2');
     expect(choose({n1: 'closed', s1: 'ready'}).chosen).toBe('s1');
-    expect(choose({n1: 'here', n2: 'ready'}, ['n1']).chosen).toBe('n2');
+    expect(choose({n1: 'local', n2: 'ready'}, ['n1']).chosen).toBe('n2');
     expect(choose({}).chosen).toBeUndefined();
   });
 
-  it('looks no further than it has to, so that no link is opened', () => {
-    expect(choose({n1: 'ready', s1: 'ready'}).looked).toEqual(['n1']);
+  it('reads no more states than needed, so that no link is opened', () => {
+    expect(choose({n1: 'ready', s1: 'ready'}).read).toEqual(['n1']);
   });
 
-  it('waits a moment for a link of its region that is being opened', () => {
+  it('waits for a link of its region that is being opened', () => {
     const states = {n1: 'connecting', s1: 'ready'} as const;
-    expect(choose(states).chosen).toBe('soon');
+    expect(choose(states).chosen).toBe('connecting');
     expect(choose(states, [], false).chosen).toBe('s1');
   });
 });
--- a/src/services/account/test/common/counter_plan.test.ts
+++ b/src/services/account/test/common/counter_plan.test.ts
@@ -3,36 +3,36 @@
 import {CounterPlanner, type CounterCandidate} from '../../common/counter_plan';
 import {makeCounter} from './permit_counting_fakes';
 
-/** Longer than a leader waits for its proxies, in milliseconds. */
-const SETTLED_MS = 2_000;
-/** Longer than a counter may be without a stream, in milliseconds. */
-const GONE_MS = 4_000;
+/** Longer than a new leader waits for proxies to attach. */
+const ATTACHED_MS = 2_000;
+/** Longer than a counter may be detached. */
+const LOST_MS = 4_000;
 
 let planner: CounterPlanner;
 let hasLimits: boolean;
-let free: Set<string>;
+let removable: Set<string>;
 let counters: readonly CounterEntry[];
 let reasons: string[];
 
 const regionOf = (site: string) => site.split('-')[0]!;
 
-/** A proxy whose name begins with its site, as "north-1/a". */
+/** Returns a proxy whose name starts with its site, as "north-1/a". */
 function makeProxy(name: string): CounterCandidate {
   const {instance, address} = makeCounter(name);
   return {instance, address, site: name.split('/')[0]!};
 }
 
-/** Takes what is planned as the log would; the names of those in force. */
-function look(names: readonly string[], now: number): string[] {
-  const need = {
+/** Applies the next plan and returns the active counters. */
+function plan(names: readonly string[], now: number): string[] {
+  const needs = {
     hasLimits,
     regionOf,
-    canRemove: (instance: string) => free.has(instance),
+    canRemove: (instance: string) => removable.has(instance),
   };
-  const plan = planner.plan(need, names.map(makeProxy), counters, now);
-  if (plan) {
-    counters = plan.counters;
-    for (const {instance, kind, reason} of plan.changes) {
+  const next = planner.plan(needs, names.map(makeProxy), counters, now);
+  if (next) {
+    counters = next.counters;
+    for (const {instance, kind, reason} of next.changes) {
       reasons.push(`${instance} ${kind}: ${reason}`);
     }
   }
@@ -40,19 +40,19 @@
 }
 
 const active = () => {
-  const named = counters.filter(({retiring}) => !retiring);
-  return named.map(({instance}) => instance).sort();
+  const entries = counters.filter(({retiring}) => !retiring);
+  return entries.map(({instance}) => instance).sort();
 };
 
 const retiring = () => {
-  const named = counters.filter(entry => entry.retiring);
-  return named.map(({instance}) => instance);
+  const entries = counters.filter(entry => entry.retiring);
+  return entries.map(({instance}) => instance);
 };
 
 beforeEach(() => {
   planner = new CounterPlanner(0);
   hasLimits = true;
-  free = new Set();
+  removable = new Set();
   counters = [];
   reasons = [];
 });
@@ -61,32 +61,32 @@
 const SOUTH = ['south-1/a'];
 
 describe('counters', () => {
-  it('are two in each region, in different sites, one where there is one', () => {
-    const named = look([...NORTH, ...SOUTH], SETTLED_MS);
-    expect(named).toHaveLength(3);
-    expect(named.map(name => name.split('/')[0])).toEqual([
+  it('are two in each region if possible, in different sites', () => {
+    const chosen = plan([...NORTH, ...SOUTH], ATTACHED_MS);
+    expect(chosen).toHaveLength(3);
+    expect(chosen.map(name => name.split('/')[0])).toEqual([
       'north-1',
       'north-2',
       'south-1',
     ]);
   });
 
-  it('are not named before proxies had time to come', () => {
-    expect(look(NORTH, 500)).toEqual([]);
+  it('are not chosen before proxies had time to attach', () => {
+    expect(plan(NORTH, 500)).toEqual([]);
   });
 
-  it('are none where no account has a limit', () => {
+  it('are not chosen where no account has a limit', () => {
     hasLimits = false;
-    for (let now = 0; now < 20_000; now += 200) look(NORTH, now);
+    for (let now = 0; now < 20_000; now += 200) plan(NORTH, now);
     expect(reasons).toEqual([]);
   });
 
-  it('stay while other proxies come and go', () => {
-    const named = look(NORTH, SETTLED_MS);
-    for (let now = SETTLED_MS; now < 20_000; now += 200) {
+  it('stay while other proxies attach and detach', () => {
+    const chosen = plan(NORTH, ATTACHED_MS);
+    for (let now = ATTACHED_MS; now < 20_000; now += 200) {
       const others = [`north-${1 + (now % 3)}/x${now}`, ...SOUTH];
-      expect(look([...named, ...others], now)).toEqual(
-        expect.arrayContaining(named),
+      expect(plan([...chosen, ...others], now)).toEqual(
+        expect.arrayContaining(chosen),
       );
     }
     expect(retiring()).toEqual([]);
@@ -95,71 +95,72 @@
 
 describe('a counter that is lost', () => {
   let lost: string;
-  let left: string[];
+  let remaining: string[];
 
   beforeEach(() => {
-    [lost] = look(NORTH, SETTLED_MS) as [string];
-    left = NORTH.filter(name => name !== lost);
+    [lost] = plan(NORTH, ATTACHED_MS) as [string];
+    remaining = NORTH.filter(name => name !== lost);
   });
 
-  it('stays while its proxy comes back soon, as after an election', () => {
-    // All proxies lose their streams when the leader changes and come back one
-    // by one. Replaced meanwhile, counters would move at each election, and
-    // callers be refused while shares move with them.
+  it('stays where its proxy attaches again soon', () => {
+    // Guards against new counters, and refusals while shares move, at each
+    // change of leader: all proxies attach again one by one.
     const before = active();
-    look([], SETTLED_MS + 200);
-    look([], SETTLED_MS + 2_400);
-    look(NORTH, SETTLED_MS + 2_600);
-    look(NORTH, SETTLED_MS + GONE_MS);
+    plan([], ATTACHED_MS + 200);
+    plan([], ATTACHED_MS + 2_400);
+    plan(NORTH, ATTACHED_MS + 2_600);
+    plan(NORTH, ATTACHED_MS + LOST_MS);
     expect(active()).toEqual(before);
   });
 
-  it('is replaced, and listed until it can hold no share', () => {
-    // A counter dies. Its shares may be in use where it is only cut off, so it
-    // has to stay in the log: a leader that comes then must know of it.
-    look(left, SETTLED_MS + 200);
-    look(left, SETTLED_MS + 200 + GONE_MS);
+  it('is replaced, and listed until it holds no share', () => {
+    // Guards against a new leader that does not know of a disconnected counter
+    // whose shares are still in use.
+    plan(remaining, ATTACHED_MS + 200);
+    plan(remaining, ATTACHED_MS + 200 + LOST_MS);
     expect(active()).toHaveLength(2);
     expect(retiring()).toEqual([lost]);
-    expect(reasons).toContain(`${lost} retiring: it is gone`);
-    look(left, SETTLED_MS + 10_000);
+    expect(reasons).toContain(
+      `${lost} retiring: its connection to control is lost`,
+    );
+    plan(remaining, ATTACHED_MS + 10_000);
     expect(retiring()).toEqual([lost]);
-    free.add(lost);
-    look(left, SETTLED_MS + 10_200);
+    removable.add(lost);
+    plan(remaining, ATTACHED_MS + 10_200);
     expect(retiring()).toEqual([]);
     expect(active()).toHaveLength(2);
   });
 
-  it('is not named anew before it is free', () => {
-    // The only proxy of a region was retired as a counter. Shares of before may
-    // be in use there; named at once, it would get new ones on top.
-    const lonely = ['south-1/a'];
+  it('is not chosen again before it holds no share', () => {
+    // Guards against new shares on top of old ones at the only proxy of a
+    // region.
+    const only = ['south-1/a'];
     counters = [makeCounter('south-1/a', {site: 'south-1', retiring: true})];
-    look(lonely, SETTLED_MS);
+    plan(only, ATTACHED_MS);
     expect(active()).toEqual([]);
-    free.add('south-1/a');
-    look(lonely, SETTLED_MS + 200);
-    look(lonely, SETTLED_MS + 400);
-    expect(active()).toEqual(lonely);
+    removable.add('south-1/a');
+    plan(only, ATTACHED_MS + 200);
+    plan(only, ATTACHED_MS + 400);
+    expect(active()).toEqual(only);
   });
 
-  it('is met at its new address where it came back elsewhere', () => {
-    // A counter's machine comes back at another address. Proxies that know the
-    // old one only would ask nobody, and refuse callers of its accounts.
-    const elsewhere = {...makeProxy(lost), address: 'elsewhere:1'};
-    const need = {hasLimits, regionOf, canRemove: () => false};
-    const proxies = [...left.map(makeProxy), elsewhere];
-    const plan = planner.plan(need, proxies, counters, SETTLED_MS + 200);
-    const entry = plan?.counters.find(({instance}) => instance === lost);
+  it('is listed with its new address', () => {
+    // Guards against proxies that connect to the old address of a counter and
+    // refuse the callers of its accounts.
+    const moved = {...makeProxy(lost), address: 'elsewhere:1'};
+    const needs = {hasLimits, regionOf, canRemove: () => false};
+    const proxies = [...remaining.map(makeProxy), moved];
+    const next = planner.plan(needs, proxies, counters, ATTACHED_MS + 200);
+    const entry = next?.counters.find(({instance}) => instance === lost);
     expect(entry).toMatchObject({address: 'elsewhere:1', retiring: false});
   });
 });
 
-it('retires all once no account has a limit', () => {
-  look(NORTH, SETTLED_MS);
+it('retires all counters when no account has a limit', () => {
+  plan(NORTH, ATTACHED_MS);
   hasLimits = false;
-  expect(look(NORTH, SETTLED_MS + 200)).toEqual([]);
-  for (const name of retiring()) free.add(name);
-  look(NORTH, SETTLED_MS + 400);
+  expect(plan(NORTH, ATTACHED_MS + 200)).toEqual([]);
+  for (const name of retiring()) removable.add(name);
+  plan(NORTH, ATTACHED_MS + 400);
   expect(counters).toEqual([]);
 });
--- a/src/services/account/test/common/limit_allocator.test.ts
+++ b/src/services/account/test/common/limit_allocator.test.ts
@@ -8,30 +8,33 @@
 
 const ACCOUNT = 'fern';
 
-/** A leader of control, and what its counters do. */
+/** A leader of control and its counters. */
 class Control {
   readonly allocator: LimitAllocator;
   now = 0;
-  /** What counters were told last, in operations a second. */
+  /** The rates that were last sent to counters. */
   readonly rates = new Map<string, number>();
-  private readonly numbers = new Map<string, number>();
+  private readonly listNumbers = new Map<string, number>();
 
   constructor(
     readonly counters: readonly string[],
     perSecond = 60,
   ) {
     this.allocator = new LimitAllocator(0);
-    this.limit(perSecond);
-    this.name(counters);
+    this.setLimit(perSecond);
+    this.setCounters(counters);
   }
 
-  limit(perSecond: number): void {
+  setLimit(perSecond: number): void {
     const limit = {perSecond, burst: perSecond};
     const entry = {account: ACCOUNT, keyDigests: [], limit};
     this.allocator.setAccounts([entry], this.now);
   }
 
-  name(counters: readonly string[], retiring: readonly string[] = []): void {
+  setCounters(
+    counters: readonly string[],
+    retiring: readonly string[] = [],
+  ): void {
     const entries = [...counters, ...retiring].map(instance => {
       const isRetiring = retiring.includes(instance);
       return {instance, address: '', site: '', retiring: isRetiring};
@@ -42,41 +45,45 @@
   attach(counter: string, perSecond = 0, depth = perSecond): void {
     const share = {account: ACCOUNT, perSecond, depth, tokens: 0};
     const shares = perSecond > 0 ? [share] : [];
-    this.numbers.set(counter, 0);
+    this.listNumbers.set(counter, 0);
     this.allocator.onDidAttach(counter, shares, this.now, this.now);
   }
 
-  /** A question of a counter that keeps to all it was told, or to less. */
-  ask(counter: string, demand = 0, number = this.numbers.get(counter)!): void {
+  /** A counter sends a report, by default as applying the newest list. */
+  report(
+    counter: string,
+    demand = 0,
+    number = this.listNumbers.get(counter)!,
+  ): void {
     const uses: AccountUse[] = [{account: ACCOUNT, run: demand, refused: 0}];
     this.allocator.report(counter, uses, number, this.now);
     this.allocator.renewLease(counter, this.now);
   }
 
-  /** The share that a counter is told of now; undefined for none. */
-  tell(counter: string): AccountShare | undefined {
+  /** Returns the share that is sent to a counter now; undefined for none. */
+  send(counter: string): AccountShare | undefined {
     const list = this.allocator.takeChangedShares(counter, this.now);
     if (!list) return undefined;
-    this.numbers.set(counter, list.number);
+    this.listNumbers.set(counter, list.number);
     this.rates.set(counter, list.shares[0]!.perSecond);
     return list.shares[0];
   }
 
-  /** Everybody asks and is told, for some time. */
+  /** Lets counters report and get their shares for some time. */
   run(milliseconds: number, demands: Record<string, number>): void {
     const until = this.now + milliseconds;
     while (this.now < until) {
       this.now += 100;
       for (const [counter, demand] of Object.entries(demands)) {
-        this.ask(counter, demand / 10);
-        this.tell(counter);
+        this.report(counter, demand / 10);
+        this.send(counter);
       }
     }
   }
 }
 
-/** Two counters with shares, the first with most callers. */
-function makeBusy(): Control {
+/** Starts with two counters, of which the first has most of the load. */
+function startBusy(): Control {
   const control = new Control(['a', 'b']);
   control.attach('a');
   control.attach('b');
@@ -85,97 +92,96 @@
 }
 
 describe('a leader of control', () => {
-  it('shares the whole limit out at once where all counters lost theirs', () => {
+  it('divides the whole limit at once where no counter has a share', () => {
     const control = new Control(['a', 'b']);
     control.attach('a');
     control.attach('b');
-    const shares = [control.tell('a')!, control.tell('b')!];
+    const shares = [control.send('a')!, control.send('b')!];
     const sum = shares.reduce((all, {perSecond}) => all + perSecond, 0);
     expect(sum).toBeGreaterThan(60 * 0.8);
     expect(sum).toBeLessThanOrEqual(60);
   });
 
-  it('gives more to who is asked more, and something to all', () => {
-    const control = makeBusy();
+  it('gives larger shares to busy counters, and some to all', () => {
+    const control = startBusy();
     control.attach('a');
     control.attach('b');
-    const [a, b] = [control.tell('a')!, control.tell('b')!];
+    const [a, b] = [control.send('a')!, control.send('b')!];
     expect(a.perSecond).toBeGreaterThan(40);
     expect(b.perSecond).toBeGreaterThan(2);
     expect(b.depth).toBeGreaterThanOrEqual(1);
   });
 
-  it('raises a share only once another counter keeps to less', () => {
-    // Callers move from one counter to another. Its list with less is still
-    // under way: were the other's raised already, both would run the same part.
-    const control = makeBusy();
+  it('raises a share only after another counter lowered its own', () => {
+    // Guards against a rate that is in use twice while the list with the lower
+    // share is still on its way.
+    const control = startBusy();
     const before = control.rates.get('a')!;
     control.now += 8_000;
-    control.ask('a');
-    control.ask('b', 160);
-    const lowered = control.tell('a')!;
-    control.tell('b');
+    control.report('a');
+    control.report('b', 160);
+    const lowered = control.send('a')!;
+    control.send('b');
     expect(before).toBeGreaterThan(30);
     expect(control.rates.get('b')! + before).toBeLessThan(60 + 1e-9);
-    control.ask('a', 0, 1);
+    control.report('a', 0, 1);
     control.now += 100;
-    expect(control.tell('b')).toBeUndefined();
-    control.ask('a');
+    expect(control.send('b')).toBeUndefined();
+    control.report('a');
     control.now += 100;
-    const raised = control.tell('b')!;
+    const raised = control.send('b')!;
     expect(raised.perSecond).toBeGreaterThan(35);
     expect(raised.perSecond + lowered.perSecond).toBeLessThan(60 + 1e-9);
   });
 
-  it('withholds what a silent counter has until its lease is over', () => {
-    // A counter is cut off from control, while callers reach it still. Were its
-    // share given to the other at once, the account would run both.
-    const control = makeBusy();
+  it('withholds the share of a lost counter until its lease expired', () => {
+    // Guards against a rate that is in use twice: callers may still reach a
+    // counter that is disconnected from control.
+    const control = startBusy();
     const before = control.rates.get('a')!;
     control.run(SHARE_LEASE_MS, {b: 50});
     expect(control.allocator.canRemove('a', control.now)).toBe(false);
     control.attach('b');
-    expect(control.tell('b')!.perSecond).toBeLessThan(60 - before + 1e-9);
+    expect(control.send('b')!.perSecond).toBeLessThan(60 - before + 1e-9);
     control.run(2_000, {b: 50});
     expect(control.allocator.canRemove('a', control.now)).toBe(true);
     control.attach('b');
-    expect(control.tell('b')!.perSecond).toBeGreaterThan(45);
+    expect(control.send('b')!.perSecond).toBeGreaterThan(45);
   });
 
-  it('counts the end of a lease only while a majority confirms it', () => {
-    // A leader that was deposed without knowing it still hears one counter.
-    // Another one follows its successor, with the shares that it has here.
-    const control = makeBusy();
+  it('lets a lease expire only as of a confirmation by a majority', () => {
+    // Guards against a deposed leader that grants the shares of a counter which
+    // is attached to its successor.
+    const control = startBusy();
     for (let at = 0; at < 100; at++) {
       control.now += 100;
       control.allocator.report('b', [], 1, control.now);
-      control.tell('b');
+      control.send('b');
     }
     expect(control.allocator.canRemove('a', control.now)).toBe(false);
   });
 
-  it('withholds what counters may have that did not come yet', () => {
-    // An earlier leader gave shares. One of its counters is not there.
+  it('withholds the shares of counters that did not attach yet', () => {
+    // Guards against shares of an earlier leader that are in use twice.
     const control = new Control(['a', 'b', 'c']);
     control.attach('a', 10);
     control.attach('b', 10);
     control.run(5_000, {a: 50, b: 50});
     control.attach('a', 12);
-    expect(control.tell('a')!.perSecond).toBeLessThanOrEqual(12);
+    expect(control.send('a')!.perSecond).toBeLessThanOrEqual(12);
     control.attach('c', 20);
     control.run(3_000, {a: 50, b: 50, c: 1});
     control.attach('a', 12);
-    expect(control.tell('a')!.perSecond).toBeGreaterThan(20);
+    expect(control.send('a')!.perSecond).toBeGreaterThan(20);
   });
 
-  it('withholds a limit that is raised while counters are unknown', () => {
-    // An operator lowered the limit from 60 to 30 and control's leader changed.
-    // A counter that did not come may still keep to 20 of the 60, of which the
-    // new leader does not know. The limit is raised to 60 again.
+  it('withholds a raised limit while counters are unknown', () => {
+    // Guards against a limit that was lowered before a change of leader:
+    // unknown counters may still apply their shares of the old limit.
     const control = new Control(['a', 'b'], 30);
     control.attach('a', 40);
     control.run(500, {a: 50});
-    control.limit(60);
+    control.setLimit(60);
     control.run(500, {a: 50});
     expect(control.rates.get('a')!).toBeLessThanOrEqual(40);
     control.attach('b', 20);
@@ -183,115 +189,110 @@
     expect(control.rates.get('a')!).toBeGreaterThan(40);
   });
 
-  it('shares that out when the lease of those who did not come is over', () => {
-    // One of the counters of an earlier leader never comes. Withheld for good,
-    // its share would be missing to the account: callers below the limit are
-    // refused.
+  it('grants withheld shares once the lease of all counters expired', () => {
+    // Guards against refusals below the limit where a counter never attaches.
     const control = new Control(['a', 'b', 'c']);
     control.attach('a', 10);
     control.attach('b', 10);
     control.run(SHARE_LEASE_MS + 2_000, {a: 50, b: 50});
     control.attach('a', 10);
-    expect(control.tell('a')!.perSecond).toBeGreaterThan(20);
+    expect(control.send('a')!.perSecond).toBeGreaterThan(20);
   });
 
-  it('lowers shares at once where a limit is lowered', () => {
-    const control = makeBusy();
-    control.limit(6);
+  it('lowers shares at once with the limit', () => {
+    const control = startBusy();
+    control.setLimit(6);
     control.now += 100;
-    const shares = [control.tell('a')!, control.tell('b')!];
+    const shares = [control.send('a')!, control.send('b')!];
     const sum = shares.reduce((all, {perSecond}) => all + perSecond, 0);
     expect(sum).toBeLessThan(6 + 1e-9);
     expect(sum).toBeGreaterThan(5);
   });
 
-  it('frees a counter once the account has no limit any more', () => {
-    // An operator lifts all limits. Counters that stayed listed as retiring for
-    // good were not named again when the limits came back, and callers of their
-    // region were refused for want of one.
-    const control = makeBusy();
+  it('frees a counter after the account lost its limit', () => {
+    // Guards against counters that stay listed as retiring for good and are not
+    // chosen again when the limits return.
+    const control = startBusy();
     control.allocator.setAccounts([], control.now);
-    control.name([], ['a', 'b']);
+    control.setCounters([], ['a', 'b']);
     control.run(SHARE_LEASE_MS - 1_000, {a: 0, b: 0});
     expect(control.allocator.canRemove('a', control.now)).toBe(false);
     control.run(6_000, {a: 0, b: 0});
     expect(control.allocator.canRemove('a', control.now)).toBe(true);
   });
 
-  it('gives a retiring counter nothing new, and frees it', () => {
-    const control = makeBusy();
+  it('gives a retiring counter no new share and frees it', () => {
+    const control = startBusy();
     control.attach('c');
-    control.name(['b', 'c'], ['a']);
+    control.setCounters(['b', 'c'], ['a']);
     control.run(5_000, {a: 0, b: 4, c: 40});
     expect(control.allocator.canRemove('a', control.now)).toBe(true);
     control.attach('c');
-    expect(control.tell('c')!.perSecond).toBeGreaterThan(30);
+    expect(control.send('c')!.perSecond).toBeGreaterThan(30);
   });
 
-  it('does not tell of small changes', () => {
-    const control = makeBusy();
+  it('does not send small changes', () => {
+    const control = startBusy();
     control.run(10_000, {a: 42, b: 4});
-    let told = 0;
+    let sentCount = 0;
     for (let at = 0; at < 50; at++) {
       control.now += 100;
       for (const counter of ['a', 'b']) {
-        control.ask(counter, counter === 'a' ? 4 + (at % 2) * 0.4 : 0.4);
-        if (control.tell(counter)) told++;
+        control.report(counter, counter === 'a' ? 4 + (at % 2) * 0.4 : 0.4);
+        if (control.send(counter)) sentCount++;
       }
     }
-    expect(told).toBe(0);
+    expect(sentCount).toBe(0);
   });
 
-  it('tells a counter all again that dropped its shares', () => {
-    // A counter heard nothing of a majority for longer than its lease, over a
-    // connection that stands. Told of changes only, it would refuse everybody.
-    const control = makeBusy();
-    control.ask('a', 0, 0);
-    const share = control.tell('a');
+  it('sends all shares again to a counter that dropped them', () => {
+    // Guards against a counter that refuses all accounts whose shares did not
+    // change since its lease expired.
+    const control = startBusy();
+    control.report('a', 0, 0);
+    const share = control.send('a');
     expect(share?.perSecond).toBeGreaterThan(1);
   });
 
-  it('counts the permits of a counter that starts again', () => {
-    // A counter dies and comes back without shares. Proxies still hold permits
-    // that it granted before; the whole share on top would let the account run
-    // beyond its limit.
-    const control = makeBusy();
+  it('accounts for the permits of a counter that restarted', () => {
+    // Guards against an account that exceeds its limit: proxies still hold
+    // permits that the counter granted before it restarted.
+    const control = startBusy();
     const before = 60 / 2;
     control.attach('a');
-    const own = control.tell('a')!;
+    const own = control.send('a')!;
     expect(own.depth).toBeLessThanOrEqual(before / 2);
-    control.ask('a');
+    control.report('a');
     control.now += 1_000;
-    control.ask('a');
-    control.ask('b');
-    expect(control.tell('a')!.depth).toBeGreaterThan(before * 0.9);
+    control.report('a');
+    control.report('b');
+    expect(control.send('a')!.depth).toBeGreaterThan(before * 0.9);
   });
 
-  it('tells nothing to a counter that is silent', () => {
-    // It comes again with the share that it has. A list that never reached it
-    // would count as in use until then.
-    const control = makeBusy();
+  it('sends nothing to an unresponsive counter', () => {
+    // Guards against shares that count as in use though the list never arrived.
+    const control = startBusy();
     control.now += 2_000;
-    control.limit(600);
-    expect(control.tell('a')).toBeUndefined();
-    control.ask('a');
-    expect(control.tell('a')).toBeDefined();
+    control.setLimit(600);
+    expect(control.send('a')).toBeUndefined();
+    control.report('a');
+    expect(control.send('a')).toBeDefined();
   });
 
-  it('tells nothing to proxies that are no counters', () => {
-    const control = makeBusy();
+  it('sends nothing to proxies that are no counters', () => {
+    const control = startBusy();
     control.attach('x');
-    expect(control.tell('x')).toBeUndefined();
+    expect(control.send('x')).toBeUndefined();
   });
 
-  it('judges which accounts are close to their limits', () => {
-    const control = makeBusy();
+  it('reports accounts that come close to their limits', () => {
+    const control = startBusy();
     expect(control.allocator.updateNearLimit(control.now)).toEqual([]);
     control.run(8_000, {a: 70, b: 4});
-    const [close] = control.allocator.updateNearLimit(control.now);
-    expect(close).toMatchObject({isNearLimit: true, counters: 2});
+    const [near] = control.allocator.updateNearLimit(control.now);
+    expect(near).toMatchObject({isNearLimit: true, counters: 2});
     control.run(8_000, {a: 10, b: 4});
-    const [again] = control.allocator.updateNearLimit(control.now);
-    expect(again).toMatchObject({isNearLimit: false});
+    const [below] = control.allocator.updateNearLimit(control.now);
+    expect(below).toMatchObject({isNearLimit: false});
   });
 });
--- a/src/services/account/test/common/limit_fleet.ts
+++ b/src/services/account/test/common/limit_fleet.ts
@@ -6,48 +6,46 @@
 import {SHARE_LEASE_MS} from '../../common/permit_counting';
 import {AccountCounter} from '../../common/account_counter';
 import {LimitAllocator} from '../../common/limit_allocator';
-import {NO_SHARE, plus} from '../../common/rate_limit_math';
+import {add, NO_SHARE} from '../../common/rate_limit_math';
 import type {RateLimit} from '../../common/token_bucket';
-import {Way, type Timeline} from './limit_timeline';
+import {Channel, type Timeline} from './limit_timeline';
 
-const RENEW_MS = 400;
-const PUSH_MS = 250;
-/** Ways between sites take up to 25 ms. */
-const MOST_WAY_MS = 25;
-/** A counter that lost its leader looks for another one so often. */
-const SEEK_MS = 150;
+const RENEWAL_INTERVAL_MS = 400;
+const PUSH_INTERVAL_MS = 250;
+/** The longest one-way delay between two sites. */
+const MAX_DELAY_MS = 25;
+const RECONNECT_INTERVAL_MS = 150;
 
-/** As on the users' sheet. */
+/** The tolerance that deployments configure. */
 export const PRECISION = {windowMs: 5_000, excess: 0.1, slack: 20};
 
 /** One leader of control. */
 export class Leader {
   readonly allocator: LimitAllocator;
   readonly attached = new Map<string, Stream>();
-  /** No majority confirms it any more. */
+  /** Whether no majority confirms it any more. */
   isDeposed = false;
 
-  constructor(since: number, leaseMs: number) {
-    this.allocator = new LimitAllocator(since, PRECISION, leaseMs);
+  constructor(startedAt: number, leaseMs: number) {
+    this.allocator = new LimitAllocator(startedAt, PRECISION, leaseMs);
   }
 }
 
 /** A counter's connection to a leader. */
 interface Stream {
   readonly leader: Leader;
-  readonly up: Way;
-  readonly down: Way;
+  readonly up: Channel;
+  readonly down: Channel;
 }
 
-/** A proxy that counts, and its words with control. */
+/** A proxy that is a counter, and its stream to control. */
 export class CountingNode {
   counter: AccountCounter;
   stream: Stream | undefined;
-  /** No word goes to or from control. */
-  isCut = false;
-  /** When its lease on its shares is over. */
-  leasedUntil = -Infinity;
-  /** It answers nobody. */
+  /** Whether it is disconnected from control. */
+  isOffline = false;
+  leaseExpiresAt = -Infinity;
+  /** Whether its process does not run. */
   isDown = false;
 
   constructor(
@@ -58,19 +56,19 @@
     this.counter = fleet.makeCounter();
   }
 
-  extend(askedAt: number): void {
-    this.counter.extendLease(askedAt);
-    const until = askedAt + this.fleet.leaseMs;
-    this.leasedUntil = Math.max(this.leasedUntil, until);
+  extendLease(requestedAt: number): void {
+    this.counter.extendLease(requestedAt);
+    const expiresAt = requestedAt + this.fleet.leaseMs;
+    this.leaseExpiresAt = Math.max(this.leaseExpiresAt, expiresAt);
   }
 
-  /** The process ends and starts again, and knows nothing. */
+  /** Restarts the process without its state. */
   restart(downMs: number): void {
     this.detach();
     this.isDown = true;
     this.fleet.timeline.after(downMs, () => {
       this.counter = this.fleet.makeCounter();
-      this.leasedUntil = -Infinity;
+      this.leaseExpiresAt = -Infinity;
       this.isDown = false;
     });
   }
@@ -88,19 +86,19 @@
   }
 }
 
-/** Counters, and the leaders of control that they follow. */
+/** Counters, and the leaders of control that they attach to. */
 export class CountingFleet {
   readonly nodes: CountingNode[] = [];
   leader: Leader | undefined;
   private readonly leaders: Leader[] = [];
   private accounts: AccountEntry[] = [];
-  private list: CounterEntry[] = [];
+  private entries: CounterEntry[] = [];
   private pushedAt = 0;
 
   constructor(
     readonly timeline: Timeline,
     private readonly random: SeededRandom,
-    /** How long shares hold without a word of control. */
+    /** How long shares are valid without a confirmation by control. */
     readonly leaseMs = SHARE_LEASE_MS,
   ) {}
 
@@ -113,7 +111,7 @@
   addNode(name: string, region: number): CountingNode {
     const node = new CountingNode(name, region, this);
     this.nodes.push(node);
-    this.live(node);
+    this.keepAttached(node);
     return node;
   }
 
@@ -123,41 +121,44 @@
     for (const {counter} of this.nodes) counter.setAccounts(accounts);
   }
 
-  /** Writes the list of counters to the control log. */
-  name(list: readonly string[], retiring: readonly string[] = []): void {
+  /** Replaces the list of counters in the control log. */
+  setCounters(
+    active: readonly string[],
+    retiring: readonly string[] = [],
+  ): void {
     const entry = (instance: string, isRetiring: boolean) => {
       return {instance, address: '', site: '', retiring: isRetiring};
     };
-    this.list = [
-      ...list.map(one => entry(one, false)),
+    this.entries = [
+      ...active.map(one => entry(one, false)),
       ...retiring.map(one => entry(one, true)),
     ];
-    this.leader?.allocator.setCounters(this.list, this.timeline.now());
+    this.leader?.allocator.setCounters(this.entries, this.timeline.now());
   }
 
-  /** Takes counters off the list that hold nothing any more. */
-  dropFree(): void {
+  /** Removes retiring counters that hold no share any more. */
+  removeRetired(): void {
     const now = this.timeline.now();
-    const kept = this.list.filter(({instance, retiring}) => {
+    const kept = this.entries.filter(({instance, retiring}) => {
       return !retiring || !this.leader?.allocator.canRemove(instance, now);
     });
-    if (kept.length === this.list.length) return;
-    this.list = kept;
+    if (kept.length === this.entries.length) return;
+    this.entries = kept;
     this.leader?.allocator.setCounters(kept, now);
   }
 
   get retiring(): readonly string[] {
-    const entries = this.list.filter(({retiring}) => retiring);
+    const entries = this.entries.filter(({retiring}) => retiring);
     return entries.map(({instance}) => instance);
   }
 
-  /** Counters that proxies ask. */
-  get named(): readonly string[] {
-    const named = this.list.filter(({retiring}) => !retiring);
-    return named.map(({instance}) => instance);
+  /** Counters that are not retiring. */
+  get active(): readonly string[] {
+    const active = this.entries.filter(({retiring}) => !retiring);
+    return active.map(({instance}) => instance);
   }
 
-  /** Control has no leader; the deposed one does not know it at once. */
+  /** Deposes the leader, which learns of it after a random time. */
   loseLeader(): void {
     const {leader} = this;
     if (!leader) return;
@@ -176,85 +177,85 @@
     const now = this.timeline.now();
     const leader = new Leader(now, this.leaseMs);
     leader.allocator.setAccounts(this.accounts, now);
-    leader.allocator.setCounters(this.list, now);
+    leader.allocator.setCounters(this.entries, now);
     this.leader = leader;
     this.leaders.push(leader);
   }
 
   step(): void {
     const now = this.timeline.now();
-    if (now - this.pushedAt < PUSH_MS) return;
+    if (now - this.pushedAt < PUSH_INTERVAL_MS) return;
     this.pushedAt = now;
     for (const leader of this.leaders) this.push(leader);
-    this.dropFree();
+    this.removeRetired();
   }
 
-  /** What all counters may run together now, by account. */
-  heldNow(): Map<string, RateLimit> {
+  /** Returns the sum of the shares that counters apply, by account. */
+  sharesInForce(): Map<string, RateLimit> {
     const now = this.timeline.now();
     const sums = new Map<string, RateLimit>();
-    for (const {counter, isDown, leasedUntil} of this.nodes) {
-      if (isDown || now >= leasedUntil) continue;
+    for (const {counter, isDown, leaseExpiresAt} of this.nodes) {
+      if (isDown || now >= leaseExpiresAt) continue;
       for (const {account, ...share} of counter.heldShares) {
-        sums.set(account, plus(sums.get(account) ?? NO_SHARE, share));
+        sums.set(account, add(sums.get(account) ?? NO_SHARE, share));
       }
     }
     return sums;
   }
 
-  private live(node: CountingNode): void {
-    const again = (delayMs: number) => {
-      this.timeline.after(delayMs, () => this.live(node));
+  private keepAttached(node: CountingNode): void {
+    const retry = (delayMs: number) => {
+      this.timeline.after(delayMs, () => this.keepAttached(node));
     };
-    if (node.isDown || node.isCut) return again(SEEK_MS);
-    // Those who follow a deposed leader stay for as long as it does not know.
+    if (node.isDown || node.isOffline) return retry(RECONNECT_INTERVAL_MS);
+    // Some counters stay attached to a deposed leader.
     const followed = node.stream?.leader;
     const isStale = followed !== this.leader && this.random.integer(0, 2) === 0;
     if (this.leader && (!followed || isStale)) this.attach(node, this.leader);
-    if (!node.stream) return again(SEEK_MS);
+    if (!node.stream) return retry(RECONNECT_INTERVAL_MS);
     this.renew(node, node.stream);
-    again(RENEW_MS);
+    retry(RENEWAL_INTERVAL_MS);
   }
 
   private attach(node: CountingNode, leader: Leader): void {
     node.detach();
-    const up = new Way(this.timeline);
-    const down = new Way(this.timeline);
+    const up = new Channel(this.timeline);
+    const down = new Channel(this.timeline);
     const stream = {leader, up, down};
     node.stream = stream;
-    const {heldShares: held} = node.counter;
+    const {heldShares} = node.counter;
     this.send(up, node, () => {
       leader.attached.set(node.name, stream);
       const now = this.timeline.now();
-      const idleSince = now - node.counter.idleMs;
-      leader.allocator.onDidAttach(node.name, held, idleSince, now);
-      this.tell(leader, node);
+      const lastGrantAt = now - node.counter.idleMs;
+      leader.allocator.onDidAttach(node.name, heldShares, lastGrantAt, now);
+      this.sendShares(leader, node);
     });
   }
 
   private renew(node: CountingNode, {leader, up, down}: Stream): void {
     const {counter, name} = node;
     const uses = counter.takeReport();
-    const {shareListNumber: sharesNumber} = counter;
-    const askedAt = this.timeline.now();
+    const {shareListNumber} = counter;
+    const requestedAt = this.timeline.now();
     this.send(up, node, () => {
-      leader.allocator.report(name, uses, sharesNumber, this.timeline.now());
-      this.tell(leader, node);
+      leader.allocator.report(name, uses, shareListNumber, this.timeline.now());
+      this.sendShares(leader, node);
       if (leader.isDeposed) return;
-      this.timeline.after(this.random.integer(1, MOST_WAY_MS), () => {
+      this.timeline.after(this.random.integer(1, MAX_DELAY_MS), () => {
         if (leader.isDeposed || !up.isOpen) return;
         leader.allocator.renewLease(name, this.timeline.now());
-        this.send(down, node, () => node.extend(askedAt));
+        this.send(down, node, () => node.extendLease(requestedAt));
       });
     });
   }
 
   private push(leader: Leader): void {
     leader.allocator.updateNearLimit(this.timeline.now());
-    for (const node of this.nodes) this.tell(leader, node);
+    for (const node of this.nodes) this.sendShares(leader, node);
   }
 
-  private tell(leader: Leader, node: CountingNode): void {
+  private sendShares(leader: Leader, node: CountingNode): void {
     const stream = leader.attached.get(node.name);
     if (!stream) return;
     const shares = leader.allocator.takeChangedShares(
@@ -265,10 +266,14 @@
     if (shares) this.send(stream.down, node, () => counter.setShares(shares));
   }
 
-  /** A cut holds messages up for good; the connection ends later. */
-  private send(way: Way, node: CountingNode, deliver: () => void): void {
-    way.send(this.random.integer(1, MOST_WAY_MS), () => {
-      if (node.isCut) node.detach();
+  /** A message that a partition drops also ends the stream. */
+  private send(
+    channel: Channel,
+    node: CountingNode,
+    deliver: () => void,
+  ): void {
+    channel.send(this.random.integer(1, MAX_DELAY_MS), () => {
+      if (node.isOffline) node.detach();
       else if (!node.isDown) deliver();
     });
   }
