--- a/src/services/account/test/common/limit_simulation.ts
+++ b/src/services/account/test/common/limit_simulation.ts
@@ -2,65 +2,65 @@
 import type {AccountLimit} from '../../../../schema/generated/fleet';
 import type {PermitDecision} from '../../common/permit_counting';
 import {HeldPermits} from '../../common/held_permits';
-import {PermitQuestion} from '../../common/refusal_tracker';
+import {RefusalTracker} from '../../common/refusal_tracker';
 import {CountingFleet, PRECISION, type CountingNode} from './limit_fleet';
 import {Timeline} from './limit_timeline';
 
 const STEP_MS = 5;
-const REGIONS = 3;
-/** A counter that does not answer within this time is taken for silent. */
-const SILENT_MS = 60;
+const REGION_COUNT = 3;
+const ANSWER_TIMEOUT_MS = 60;
 
 /** A proxy that callers connect to. */
-export interface FirstProxy {
+export interface CallerProxy {
   readonly region: number;
-  book: HeldPermits;
+  permits: HeldPermits;
 }
 
-/** A question to one counter after the other. */
-interface Question {
+/** A request for permits that is sent to counters in turn. */
+interface PendingRequest {
   readonly callers: Callers;
-  readonly proxy: FirstProxy;
+  readonly proxy: CallerProxy;
   readonly wanted: number;
-  readonly others: CountingNode[];
-  readonly round: PermitQuestion;
+  readonly remaining: CountingNode[];
+  readonly refusals: RefusalTracker;
 }
 
-/** An account, its callers and what came of their operations. */
+/** The callers of one account, and the outcomes of their operations. */
 export class Callers {
-  /** Operations a second that they ask for at first. */
+  /** First attempts a second, without retries. */
   perSecond = 0;
-  /** When operations ran, in milliseconds. */
-  readonly ran: number[] = [];
-  asked = 0;
-  refused = 0;
-  /** Operations that nobody decided. */
-  lost = 0;
-  /** Whether those who are refused come again when they were told to. */
+  /** When operations ran. */
+  readonly ranAt: number[] = [];
+  requestCount = 0;
+  refusedCount = 0;
+  /** Operations that no counter decided on. */
+  undecidedCount = 0;
+  /** Whether refused callers retry when they were told to. */
   isRetrying = false;
-  /** Where the next operation comes in. */
-  place: (world: LimitWorld) => FirstProxy = world => world.anyProxy();
-  private nextAt = 0;
+  /** Chooses the proxy of the next operation. */
+  choose: (simulation: LimitSimulation) => CallerProxy = simulation =>
+    simulation.pickProxy();
+  private nextArrivalAt = 0;
 
   constructor(
     readonly account: string,
     public limit: AccountLimit,
   ) {}
 
-  /** How many come in until a time; independent of each other. */
-  comeUntil(now: number, random: SeededRandom): number {
-    if (this.perSecond === 0) this.nextAt = now;
+  /** Returns how many arrive until a time, independently of each other. */
+  arrivalsUntil(now: number, random: SeededRandom): number {
+    if (this.perSecond === 0) this.nextArrivalAt = now;
     let count = 0;
-    for (; this.nextAt < now; count++) {
-      const betweenMs = 1_000 / this.perSecond;
-      this.nextAt += -Math.log(1 - random.fraction()) * betweenMs;
+    for (; this.nextArrivalAt < now; count++) {
+      const intervalMs = 1_000 / this.perSecond;
+      this.nextArrivalAt += -Math.log(1 - random.fraction()) * intervalMs;
     }
     return count;
   }
 
-  /** The most that ran in any span of a length, from a time on. */
-  mostWithin(windowMs: number, from = 0): number {
-    const times = this.ran.filter(at => at >= from);
+  /** Returns the most that ran in any window, from a time on. */
+  maxInWindow(windowMs: number, from = 0): number {
+    const times = this.ranAt.filter(at => at >= from);
     let most = 0;
     let first = 0;
     for (const [last, at] of times.entries()) {
@@ -71,20 +71,20 @@
   }
 }
 
-/** What the users allow in a span of five seconds. */
-export function allowed({perSecond, burst}: AccountLimit): number {
+/** Returns how many operations may run in any window. */
+export function allowedInWindow({perSecond, burst}: AccountLimit): number {
   const {windowMs, excess, slack} = PRECISION;
   return ((perSecond * windowMs) / 1_000 + burst) * (1 + excess) + slack;
 }
 
-/** First proxies, counters, control and the callers of some accounts. */
-export class LimitWorld {
+/** Simulates proxies, counters, control and the callers of accounts. */
+export class LimitSimulation {
   readonly timeline = new Timeline(STEP_MS);
   readonly fleet: CountingFleet;
-  readonly proxies: FirstProxy[];
+  readonly proxies: CallerProxy[];
   readonly callers: Callers[];
-  /** The part of questions of which the answers are lost. */
-  lostPart = 0;
+  /** The fraction of answers of counters that are lost. */
+  lostAnswerFraction = 0;
 
   constructor(
     readonly random: SeededRandom,
@@ -94,20 +94,20 @@
   ) {
     this.fleet = new CountingFleet(this.timeline, random, leaseMs);
     this.proxies = Array.from(
-      {length: REGIONS * proxiesPerRegion},
-      (...[, at]) => ({region: at % REGIONS, book: new HeldPermits()}),
+      {length: REGION_COUNT * proxiesPerRegion},
+      (...[, at]) => ({region: at % REGION_COUNT, permits: new HeldPermits()}),
     );
     this.callers = limits.map((limit, at) => new Callers(`a${at}`, limit));
-    this.publish();
-    for (let at = 0; at < 2 * REGIONS; at++) {
-      this.fleet.addNode(`c${at}`, at % REGIONS);
+    this.publishLimits();
+    for (let at = 0; at < 2 * REGION_COUNT; at++) {
+      this.fleet.addNode(`c${at}`, at % REGION_COUNT);
     }
-    this.fleet.name(this.fleet.nodes.map(({name}) => name));
+    this.fleet.setCounters(this.fleet.nodes.map(({name}) => name));
     this.fleet.electLeader();
   }
 
-  /** Takes the limits of the callers' accounts. */
-  publish(): void {
+  /** Publishes the limits of all accounts. */
+  publishLimits(): void {
     this.fleet.setAccounts(
       this.callers.map(({account, limit}) => {
         return {account, keyDigests: [], limit};
@@ -115,19 +115,19 @@
     );
   }
 
-  anyProxy(): FirstProxy {
+  pickProxy(): CallerProxy {
     return this.random.pick(this.proxies);
   }
 
-  proxyIn(region: number): FirstProxy {
-    const each = Math.floor(this.proxies.length / REGIONS);
+  pickProxyIn(region: number): CallerProxy {
+    const each = Math.floor(this.proxies.length / REGION_COUNT);
     const at = this.random.integer(0, each - 1);
-    return this.proxies[at * REGIONS + region]!;
+    return this.proxies[at * REGION_COUNT + region]!;
   }
 
-  /** Lets all callers ask a multiple of their limit's rate. */
-  load(part: number): void {
-    for (const one of this.callers) one.perSecond = one.limit.perSecond * part;
+  /** Sets the load of all accounts as a multiple of their rates. */
+  setLoad(ratio: number): void {
+    for (const one of this.callers) one.perSecond = one.limit.perSecond * ratio;
   }
 
   run(milliseconds: number): void {
@@ -135,109 +135,116 @@
     while (this.timeline.now() < until) {
       this.timeline.step();
       this.fleet.step();
-      for (const callers of this.callers) this.come(callers);
+      for (const callers of this.callers) this.startArrivals(callers);
     }
   }
 
-  /** Another instance starts. */
+  /** Starts another proxy. */
   addProxy(): void {
-    const region = this.proxies.length % REGIONS;
-    this.proxies.push({region, book: new HeldPermits()});
+    const region = this.proxies.length % REGION_COUNT;
+    this.proxies.push({region, permits: new HeldPermits()});
   }
 
-  /** A caller asks one proxy for one operation. */
-  ask(callers: Callers, proxy: FirstProxy): void {
-    callers.asked++;
+  /** Starts one operation of a caller at a proxy. */
+  start(callers: Callers, proxy: CallerProxy): void {
+    callers.requestCount++;
     const now = this.timeline.now();
-    const knowledge = proxy.book.tryTake(callers.account, now);
-    if (knowledge.kind === 'taken') callers.ran.push(now);
-    if (knowledge.kind === 'refused') {
-      this.refuse(callers, proxy, knowledge.retryAfterMs);
+    const lookup = proxy.permits.tryTake(callers.account, now);
+    if (lookup.kind === 'taken') callers.ranAt.push(now);
+    if (lookup.kind === 'refused') {
+      this.refuse(callers, proxy, lookup.retryAfterMs);
     }
-    if (knowledge.kind !== 'ask') return;
-    const others = this.order(callers.account, proxy.region);
-    const {wanted, further} = knowledge;
-    const round = new PermitQuestion(further);
-    this.askNext({callers, proxy, wanted, others, round});
+    if (lookup.kind !== 'request') return;
+    const remaining = this.rankCounters(callers.account, proxy.region);
+    const {wanted, maxFurtherCounters} = lookup;
+    const refusals = new RefusalTracker(maxFurtherCounters);
+    this.tryNext({callers, proxy, wanted, remaining, refusals});
   }
 
-  private come(callers: Callers): void {
-    const count = callers.comeUntil(this.timeline.now(), this.random);
-    for (let at = 0; at < count; at++) this.ask(callers, callers.place(this));
+  private startArrivals(callers: Callers): void {
+    const count = callers.arrivalsUntil(this.timeline.now(), this.random);
+    for (let n = 0; n < count; n++) this.start(callers, callers.choose(this));
   }
 
-  private refuse(callers: Callers, proxy: FirstProxy, afterMs: number): void {
-    callers.refused++;
+  private refuse(callers: Callers, proxy: CallerProxy, afterMs: number): void {
+    callers.refusedCount++;
     if (!callers.isRetrying) return;
-    this.timeline.after(afterMs, () => this.ask(callers, proxy));
+    this.timeline.after(afterMs, () => this.start(callers, proxy));
   }
 
-  /** Counters as a proxy asks them: those of its region, then others. */
-  private order(account: string, region: number): CountingNode[] {
-    const {named, retiring, nodes} = this.fleet;
+  /** Orders counters as a proxy tries them, those of its region first. */
+  private rankCounters(account: string, region: number): CountingNode[] {
+    const {active, retiring, nodes} = this.fleet;
     const rank = ({name}: CountingNode) => hash(`${account} ${name}`);
     const far = (node: CountingNode) => {
       return retiring.includes(node.name) ? 2 : Number(node.region !== region);
     };
     return nodes
-      .filter(({name}) => named.includes(name) || retiring.includes(name))
+      .filter(({name}) => active.includes(name) || retiring.includes(name))
       .sort((one, two) => far(one) - far(two) || rank(one) - rank(two));
   }
 
-  /** Asks one counter after the other until one grants. */
-  private askNext(question: Question): void {
-    const {proxy, others} = question;
-    const node = others.shift();
-    if (!node || !question.round.mayGoOn) return this.giveUp(question);
-    const askedAt = this.timeline.now();
+  /** Tries counters in turn until one grants permits. */
+  private tryNext(request: PendingRequest): void {
+    const {proxy, remaining} = request;
+    const node = remaining.shift();
+    if (!node || !request.refusals.canTryAnother) return this.fail(request);
+    const requestedAt = this.timeline.now();
     if (node.isDown) {
-      return this.timeline.after(SILENT_MS, () => this.askNext(question));
+      return this.timeline.after(ANSWER_TIMEOUT_MS, () =>
+        this.tryNext(request),
+      );
     }
-    this.timeline.after(this.wayTo(proxy, node), () => {
-      const {account} = question.callers;
-      const decision = node.counter.requestPermits(account, question.wanted);
-      if (this.random.fraction() < this.lostPart) {
-        this.timeline.after(SILENT_MS, () => this.askNext(question));
+    this.timeline.after(this.pickDelayMs(proxy, node), () => {
+      const {account} = request.callers;
+      const decision = node.counter.requestPermits(account, request.wanted);
+      if (this.random.fraction() < this.lostAnswerFraction) {
+        this.timeline.after(ANSWER_TIMEOUT_MS, () => this.tryNext(request));
         return;
       }
-      this.timeline.after(this.wayTo(proxy, node), () => {
-        this.onAnswered(question, askedAt, decision);
+      this.timeline.after(this.pickDelayMs(proxy, node), () => {
+        this.onDidAnswer(request, requestedAt, decision);
       });
     });
   }
 
-  private onAnswered(
-    question: Question,
-    askedAt: number,
+  private onDidAnswer(
+    request: PendingRequest,
+    requestedAt: number,
     decision: PermitDecision,
   ): void {
-    const {callers, proxy} = question;
+    const {callers, proxy} = request;
     const now = this.timeline.now();
     if (decision.kind === 'granted') {
-      proxy.book.onDidReceiveDecision(callers.account, askedAt, decision, now);
-      const run = () => callers.ran.push(this.timeline.now());
+      proxy.permits.onDidReceiveDecision(
+        callers.account,
+        requestedAt,
+        decision,
+        now,
+      );
+      const run = () => callers.ranAt.push(this.timeline.now());
       if (decision.waitMs === 0) run();
       else this.timeline.after(decision.waitMs, run);
       return;
     }
     if (decision.kind === 'refused') {
-      question.round.onRefused(askedAt, decision);
+      request.refusals.add(requestedAt, decision);
     }
-    this.askNext(question);
+    this.tryNext(request);
   }
 
-  private giveUp({callers, proxy, round}: Question): void {
+  private fail({callers, proxy, refusals}: PendingRequest): void {
     const now = this.timeline.now();
-    const decision = round.refusalAt(now);
+    const decision = refusals.refusalAt(now);
     if (!decision) {
-      callers.lost++;
+      callers.undecidedCount++;
       return;
     }
-    proxy.book.onDidReceiveDecision(callers.account, now, decision, now);
+    proxy.permits.onDidReceiveDecision(callers.account, now, decision, now);
     this.refuse(callers, proxy, decision.retryAfterMs);
   }
 
-  private wayTo({region}: FirstProxy, node: CountingNode): number {
+  private pickDelayMs({region}: CallerProxy, node: CountingNode): number {
     if (node.region === region) return this.random.integer(1, 3);
     return this.random.integer(10, 25);
   }
--- a/src/services/account/test/common/limit_timeline.ts
+++ b/src/services/account/test/common/limit_timeline.ts
@@ -1,9 +1,9 @@
 import {ManualClock} from '../../../../base/common/clock';
 
-/** What happens at which time, in steps of some milliseconds. */
+/** Runs scheduled actions on a manual clock, in steps. */
 export class Timeline {
   readonly clock = new ManualClock();
-  private readonly due = new Map<number, (() => void)[]>();
+  private readonly dueActions = new Map<number, (() => void)[]>();
 
   constructor(private readonly stepMs: number) {}
 
@@ -11,33 +11,33 @@
     return this.clock.now();
   }
 
-  after(milliseconds: number, act: () => void): void {
-    const steps = Math.max(1, Math.ceil(milliseconds / this.stepMs));
+  after(delayMs: number, action: () => void): void {
+    const steps = Math.max(1, Math.ceil(delayMs / this.stepMs));
     const at = this.now() + steps * this.stepMs;
-    const known = this.due.get(at);
-    if (known) known.push(act);
-    else this.due.set(at, [act]);
+    const known = this.dueActions.get(at);
+    if (known) known.push(action);
+    else this.dueActions.set(at, [action]);
   }
 
   step(): void {
     this.clock.advance(this.stepMs);
-    const acts = this.due.get(this.now()) ?? [];
-    this.due.delete(this.now());
-    for (const act of acts) act();
+    const actions = this.dueActions.get(this.now()) ?? [];
+    this.dueActions.delete(this.now());
+    for (const action of actions) action();
   }
 }
 
-/** Messages one way: they arrive in the order in which they were sent. */
-export class Way {
-  private lastAt = 0;
+/** Delivers messages in one direction, in the order of sending. */
+export class Channel {
+  private lastDeliveryAt = 0;
   isOpen = true;
 
   constructor(private readonly timeline: Timeline) {}
 
   send(delayMs: number, deliver: () => void): void {
     const now = this.timeline.now();
-    this.lastAt = Math.max(this.lastAt, now + delayMs);
-    this.timeline.after(this.lastAt - now, () => {
+    this.lastDeliveryAt = Math.max(this.lastDeliveryAt, now + delayMs);
+    this.timeline.after(this.lastDeliveryAt - now, () => {
       if (this.isOpen) deliver();
     });
   }
--- a/src/services/account/test/common/permit_counting_fakes.ts
+++ b/src/services/account/test/common/permit_counting_fakes.ts
@@ -11,28 +11,27 @@
   ShareAllocator,
 } from '../../common/permit_counting';
 
-/** A share of an account. */
 export function makeShare(account: string, perSecond = 5): AccountShare {
   return {account, perSecond, depth: 2, tokens: 0};
 }
 
-/** A counter named in the control log. */
+/** Returns an entry of the list of counters. */
 export function makeCounter(
   instance: string,
-  over: Partial<CounterEntry> = {},
+  overrides: Partial<CounterEntry> = {},
 ): CounterEntry {
   const address = `${instance}:1`;
-  return {instance, address, site: 'a', retiring: false, ...over};
+  return {instance, address, site: 'a', retiring: false, ...overrides};
 }
 
-/** An account that may ask so much; without a number, as much as it likes. */
+/** Returns an account with a limit, or without one. */
 export function makeLimited(account: string, perSecond?: number): AccountEntry {
   const limit =
     perSecond === undefined ? undefined : {perSecond, burst: perSecond};
   return {account, keyDigests: [], limit};
 }
 
-/** Notes what it is told, and hands out the lists that a test puts in. */
+/** Records its calls, and returns the lists of shares that a test sets. */
 export class FakeAllocator implements ShareAllocator {
   readonly calls: string[] = [];
   readonly lists = new Map<string, AccountShares>();
@@ -46,8 +45,8 @@
   }
 
   onDidAttach(counter: string, shares: readonly AccountShare[]): void {
-    const held = shares.map(({account}) => account).join(' ');
-    this.calls.push(`attached ${counter} with ${held || 'nothing'}`);
+    const accounts = shares.map(({account}) => account).join(' ');
+    this.calls.push(`attached ${counter} with ${accounts || 'nothing'}`);
   }
 
   report(
@@ -82,7 +81,7 @@
   }
 }
 
-/** Notes what control tells it, and decides as a test says. */
+/** Records what control sends, and returns the decision that a test sets. */
 export class FakeCounter implements PermitCounter {
   readonly idleMs = 0;
   heldShares: AccountShare[] = [];
--- a/src/services/account/test/node/counter_links.test.ts
+++ b/src/services/account/test/node/counter_links.test.ts
@@ -23,9 +23,9 @@
 
 const clock = new MonotonicClock();
 
-/** A hung process: what is asked of it is answered once it goes on. */
+/** A server that can hang and process requests later. */
 class HangingServer extends MessageServer {
-  private readonly onDidWake: (() => void)[] = [];
+  private readonly delayed: (() => void)[] = [];
   isHanging = false;
 
   override serve<Q, A>(
@@ -37,7 +37,7 @@
       link.start = listener => {
         const onDidReceive = (message: Q) => {
           const handle = () => listener.onDidReceive(message);
-          if (this.isHanging) this.onDidWake.push(handle);
+          if (this.isHanging) this.delayed.push(handle);
           else handle();
         };
         start({...listener, onDidReceive});
@@ -46,14 +46,14 @@
     });
   }
 
-  wake(): void {
+  resume(): void {
     this.isHanging = false;
-    for (const handle of this.onDidWake.splice(0)) handle();
+    for (const handle of this.delayed.splice(0)) handle();
   }
 }
 
-/** A proxy that counts for others. */
-class TestCounter {
+/** The counter process of another proxy. */
+class CounterProcess {
   readonly stop = ownController();
   readonly counter = new FakeCounter();
   readonly server = new HangingServer(makeLog().log);
@@ -80,79 +80,84 @@
 }
 
 let stop: AbortController;
-let near: TestCounter[];
-let far: TestCounter;
-let own: FakeCounter;
+let regional: CounterProcess[];
+let remote: CounterProcess;
+let localCounter: FakeCounter;
 let limits: AccountLimits;
 let directory: CounterDirectory;
 
 beforeEach(async () => {
   stop = ownController();
-  near = [new TestCounter('n1', 'north'), new TestCounter('n2', 'north')];
-  far = new TestCounter('s1', 'south');
-  for (const counter of [...near, far]) await counter.start();
-  own = new FakeCounter();
+  regional = [
+    new CounterProcess('n1', 'north'),
+    new CounterProcess('n2', 'north'),
+  ];
+  remote = new CounterProcess('s1', 'south');
+  for (const counter of [...regional, remote]) await counter.start();
+  localCounter = new FakeCounter();
   directory = new CounterDirectory(
     {instance: 'p1', site: 'north', regionOf: site => site},
-    new LocalCounter(own, clock),
+    new LocalCounter(localCounter, clock),
     makeLog().log,
     stop.signal,
   );
-  directory.setCounters([...near, far].map(({entry}) => entry));
+  directory.setCounters([...regional, remote].map(({entry}) => entry));
   limits = new AccountLimits(new HeldPermits(), directory, clock);
   limits.setAccounts([makeLimited('fern', 10), makeLimited('oak')]);
 });
 
 afterEach(() => {
   stop.abort();
-  for (const counter of [...near, far]) counter.stop.abort();
+  for (const counter of [...regional, remote]) counter.stop.abort();
 });
 
 const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
-/** Asks for one operation; what came of it, and how long that took. */
-async function admit(account = 'fern', timeMs = 400) {
+/** Admits one operation; returns the refusal, if any, and the duration. */
+async function admit(account = 'fern', timeoutMs = 400) {
   const startedAt = clock.now();
   let outcome: Result<void, LimitRefusal> | undefined;
   await startTask('admission', function* () {
-    outcome = yield* limits.admit(account, startedAt + timeMs);
+    outcome = yield* limits.admit(account, startedAt + timeoutMs);
   });
   const refusal = outcome?.isErr ? outcome.error : undefined;
   return {refusal, tookMs: clock.now() - startedAt};
 }
 
-/** The counter of the region that is asked first, and the other one. */
-async function firstAndSecond(): Promise<[TestCounter, TestCounter]> {
+/** Returns the counters of the region in the order of requests. */
+async function firstAndSecond(): Promise<[CounterProcess, CounterProcess]> {
   await admit();
-  const [one, other] = near as [TestCounter, TestCounter];
+  const [one, other] = regional as [CounterProcess, CounterProcess];
   const isOne = one.counter.requests.length > 0;
-  for (const {counter} of near) counter.requests.length = 0;
+  for (const {counter} of regional) counter.requests.length = 0;
   return isOne ? [one, other] : [other, one];
 }
 
 describe('an operation of an account with a limit', () => {
-  it('asks one counter of its region, and no other', async () => {
+  it('sends a request to one counter of its region only', async () => {
     const {refusal} = await admit();
     expect(refusal).toBeUndefined();
-    const asked = [...near, far].map(({counter}) => counter.requests.length);
-    expect(asked.sort()).toEqual([0, 0, 1]);
-    expect(far.counter.requests).toEqual([]);
+    const counts = [...regional, remote].map(
+      ({counter}) => counter.requests.length,
+    );
+    expect(counts.sort()).toEqual([0, 0, 1]);
+    expect(remote.counter.requests).toEqual([]);
   });
 
-  it('asks nobody where the account has no limit', async () => {
+  it('sends no request where the account has no limit', async () => {
     expect((await admit('oak')).refusal).toBeUndefined();
     expect((await admit('elm')).refusal).toBeUndefined();
-    expect(near.flatMap(({counter}) => counter.requests)).toEqual([]);
+    expect(regional.flatMap(({counter}) => counter.requests)).toEqual([]);
   });
 
-  it('needs no message where its proxy is the counter', async () => {
+  it('sends no message where its proxy is the counter', async () => {
     directory.setCounters([makeCounter('p1', {site: 'north'})]);
     expect((await admit()).refusal).toBeUndefined();
-    expect(own.requests).toHaveLength(1);
+    expect(localCounter.requests).toHaveLength(1);
   });
 
-  it('waits for a token that comes soon', async () => {
-    for (const {counter} of near) {
+  it('waits for a token that is added soon', async () => {
+    for (const {counter} of regional) {
       counter.decision = {kind: 'granted', count: 1, validMs: 500, waitMs: 80};
     }
     const {refusal, tookMs} = await admit();
@@ -160,18 +165,18 @@
     expect(tookMs).toBeGreaterThanOrEqual(78);
   });
 
-  it('asks on where the first counter has no room', async () => {
-    // Each counter holds a part of the limit. An account far below it is
-    // refused at one of them where too many of its callers come by chance.
+  it('tries the second counter where the first one refuses', async () => {
+    // Guards against refusals below the limit: each counter holds only a part
+    // of it, which many callers may reach by chance.
     const [first, second] = await firstAndSecond();
     first.counter.decision = {kind: 'refused', retryAfterMs: 170};
     expect((await admit()).refusal).toBeUndefined();
     expect(second.counter.requests).toHaveLength(1);
   });
 
-  it('is refused with the earliest time and who decided', async () => {
+  it('is refused with the earliest retry time and last answer', async () => {
     const [first, second] = await firstAndSecond();
-    for (const {counter} of [first, second, far]) {
+    for (const {counter} of [first, second, remote]) {
       counter.decision = {kind: 'refused', retryAfterMs: 2_000};
     }
     second.counter.decision = {kind: 'refused', retryAfterMs: 500};
@@ -179,13 +184,15 @@
     expect(refusal?.reason).toBe('over its limit');
     expect(refusal?.retryAfterMs).toBeLessThanOrEqual(500);
     expect(refusal?.retryAfterMs).toBeGreaterThan(300);
-    expect(refusal?.detail).toContain('counter=s1 answer="room in 2000 ms"');
-    // Until then it is refused without a message.
+    expect(refusal?.detail).toContain(
+      'counter=s1 answer="retry after 2000 ms"',
+    );
+    // The next one is refused by the cache.
     await admit();
     expect(first.counter.requests).toHaveLength(1);
   });
 
-  it('gives a permit back that was not used', async () => {
+  it('returns an unused permit', async () => {
     const [first] = await firstAndSecond();
     await admit();
     limits.refund('fern');
@@ -195,9 +202,8 @@
 });
 
 describe('an operation whose first counter', () => {
-  it('hangs goes to the second in time, and the next one at once', async () => {
-    // A counter hangs with its links open. Each operation of half of the
-    // accounts of its region would wait for it, for as long as that lasts.
+  it('hangs tries the second one, as later ones do at once', async () => {
+    // Guards against a timeout for each operation while a counter hangs.
     const [first, second] = await firstAndSecond();
     first.server.isHanging = true;
     const {refusal, tookMs} = await admit();
@@ -207,17 +213,16 @@
     const next = await admit();
     expect(next.refusal).toBeUndefined();
     expect(next.tookMs).toBeLessThan(50);
-    // What it grants to nobody goes back, and it is asked again.
-    first.server.wake();
+    // Its late permits are returned, and it gets requests again.
+    first.server.resume();
     await pause(50);
     expect(first.counter.returnedPermits).toEqual(['fern 1']);
     await admit();
     expect(first.counter.requests).toHaveLength(2);
   });
 
-  it('died goes to the second', async () => {
-    // The process of a counter ends. Callers whose accounts it counted would be
-    // refused until control names another one, some seconds later.
+  it('failed tries the second one', async () => {
+    // Guards against refusals until control chooses another counter.
     const [first, second] = await firstAndSecond();
     first.stop.abort();
     await pause(50);
@@ -227,36 +232,33 @@
     expect(second.counter.requests).toHaveLength(1);
   });
 
-  it('holds no share of the account goes to the second', async () => {
-    // A counter lost its lease, or is new: it cannot say anything of the
-    // account. Its callers would be refused although the other counter has
-    // room.
+  it('has no share of the account tries the second one', async () => {
+    // Guards against refusals where one counter is new or lost its lease.
     const [first, second] = await firstAndSecond();
     first.counter.decision = {kind: 'unknown account'};
     expect((await admit()).refusal).toBeUndefined();
     expect(second.counter.requests).toHaveLength(1);
   });
 
-  it('and second are lost goes to another region', async () => {
-    // Both counters of a region die. Its callers would be refused although a
-    // counter elsewhere holds a share.
+  it('and second one failed tries another region', async () => {
+    // Guards against refusals though a counter of another region has a share.
     await admit();
-    for (const counter of near) counter.stop.abort();
+    for (const counter of regional) counter.stop.abort();
     await pause(50);
     expect((await admit()).refusal).toBeUndefined();
-    expect(far.counter.requests).toHaveLength(1);
+    expect(remote.counter.requests).toHaveLength(1);
   });
 });
 
-it('uses no permit whose time was over when it came', async () => {
-  // A proxy freezes with a question under way and wakes seconds later, with
-  // the answer waiting: the counter has granted others the same since.
+it('uses no permit that expired before it arrived', async () => {
+  // Guards against a frozen proxy that reads an old answer, whose permits the
+  // counter has granted to others since.
   const [first, second] = await firstAndSecond();
   first.counter.decision = {kind: 'granted', count: 3, validMs: 10, waitMs: 0};
   first.server.isHanging = true;
   const admitted = admit();
   await pause(30);
-  first.server.wake();
+  first.server.resume();
   expect((await admitted).refusal).toBeUndefined();
   await pause(30);
   expect(first.counter.returnedPermits).toEqual(['fern 3']);
@@ -264,10 +266,9 @@
 });
 
 describe('an operation that no counter decides on', () => {
-  it('is refused by its deadline, with a short time to come back', async () => {
-    // Control is lost for longer than shares are kept to: no counter grants
-    // anything any more, and nobody may run without a permit.
-    for (const {counter} of [...near, far]) {
+  it('is refused by its deadline, with a short retry time', async () => {
+    // Control is unavailable for longer than the lease on shares.
+    for (const {counter} of [...regional, remote]) {
       counter.decision = {kind: 'unknown account'};
     }
     const {refusal, tookMs} = await admit('fern', 250);
@@ -277,13 +278,12 @@
     expect(tookMs).toBeLessThan(450);
   });
 
-  it('runs once a counter is named within its time', async () => {
-    // A fleet starts: callers come before control has named counters. Refused
-    // at once, they would all come again in the same moment.
+  it('runs where a counter is chosen before its deadline', async () => {
+    // Guards against refusals while a fleet starts.
     directory.setCounters([]);
     const admitted = admit();
     await pause(60);
-    directory.setCounters(near.map(({entry}) => entry));
+    directory.setCounters(regional.map(({entry}) => entry));
     expect((await admitted).refusal).toBeUndefined();
   });
 });
