--- a/src/services/connection_quota/common/allocated_services.ts
+++ b/src/services/connection_quota/common/allocated_services.ts
@@ -5,7 +5,7 @@
 } from '../../../schema/generated/fleet';
 import {usableConnections} from '../../dispatch/common/usable_connections';
 
-/** A service whose members' connections control hands out. */
+/** A service whose members' connections are granted by control. */
 export interface AllocatedService {
   /** Connections to one member that all instances together may have. */
   readonly shared: number;
@@ -13,18 +13,19 @@
   readonly poolers: ReadonlySet<string>;
 }
 
-/** What control knows when it hands connections out. */
+/** What decides which connections control grants. */
 export interface AllocationInputs {
   readonly catalog: Catalog | undefined;
   readonly members: readonly Member[];
   readonly poolers: readonly PoolerEntry[];
-  /** Whether instances differ in size. */
+  /** Whether instances differ in capacity. */
   readonly areUneven: boolean;
 }
 
 /**
- * Services that have poolers, and whose callers have accounts with limits or
- * whose instances differ in size. All others share equally.
+ * Returns the services that have poolers, and whose callers have accounts with
+ * limits or whose instances differ in capacity. The instances of other services
+ * use equal shares of the connections.
  */
 export function selectAllocatedServices(
   inputs: AllocationInputs,
@@ -33,7 +34,7 @@
   const services = new Map<string, AllocatedService>();
   for (const {service, connections} of catalog?.services ?? []) {
     const own = poolers.filter(other => other.service === service);
-    if (own.length === 0 || !isByDemand(service, inputs)) continue;
+    if (own.length === 0 || !isAllocated(service, inputs)) continue;
     services.set(service, {
       shared: usableConnections(connections),
       members: members
@@ -45,7 +46,7 @@
   return services;
 }
 
-function isByDemand(
+function isAllocated(
   service: string,
   {catalog, areUneven}: AllocationInputs,
 ): boolean {
--- a/src/services/connection_quota/common/capacity.ts
+++ b/src/services/connection_quota/common/capacity.ts
@@ -1,26 +1,26 @@
 import type {FollowerHello} from '../../../schema/generated/fleet';
 
-/** What an instance may use of its machine; 0 where it does not know. */
+/** What an instance may use of its machine; 0 where it is unknown. */
 export interface InstanceCapacity {
-  /** Processor cores, parts of one too. */
+  /** Processor cores; may be a fraction. */
   readonly cores: number;
-  /** Its link to others, in megabits a second. */
+  /** Bandwidth of its network link, in megabits a second. */
   readonly linkMbps: number;
 }
 
-/** Of an instance that knows nothing of its machine. */
+/** The capacity of an instance that has no settings for it. */
 export const UNKNOWN_CAPACITY: InstanceCapacity = {cores: 0, linkMbps: 0};
 
-/** Instances differ once the largest has so many times what the smallest has. */
-const UNEVEN_FACTOR = 1.05;
+/** A smaller ratio of the largest to the smallest capacity does not count. */
+const MIN_UNEVEN_RATIO = 1.05;
 
-/** What an instance said of its size when it came. */
+/** Reads the capacity that an instance reported when it attached. */
 export function capacityOf(hello: FollowerHello): InstanceCapacity {
   const {capacityCores: cores, capacityLinkMbps: linkMbps} = hello;
   return {cores, linkMbps};
 }
 
-/** Whether instances differ in size, as far as they know theirs. */
+/** Whether instances differ in capacity, as far as it is known. */
 export function areUneven(all: Iterable<InstanceCapacity>): boolean {
   const capacities = [...all];
   return (
@@ -29,7 +29,7 @@
   );
 }
 
-function differ(sizes: readonly number[]): boolean {
-  const known = sizes.filter(size => size > 0);
-  return Math.max(...known) > Math.min(...known) * UNEVEN_FACTOR;
+function differ(values: readonly number[]): boolean {
+  const known = values.filter(value => value > 0);
+  return Math.max(...known) > Math.min(...known) * MIN_UNEVEN_RATIO;
 }
--- a/src/services/connection_quota/common/connection_allocation.ts
+++ b/src/services/connection_quota/common/connection_allocation.ts
@@ -3,53 +3,53 @@
   Member,
   PoolerEntry,
 } from '../../../schema/generated/fleet';
-import {areUneven, type InstanceCapacity} from './capacity';
-import {ConnectionAllocator} from '../../connection_quota/common/connection_allocator';
 import {selectAllocatedServices} from './allocated_services';
+import {areUneven, type InstanceCapacity} from './capacity';
+import {ConnectionAllocator} from './connection_allocator';
 
-/** What connections are handed out by. */
+/** The state of control that connections are allocated by. */
 export interface AllocationSource {
   catalog(): Catalog | undefined;
   members(): readonly Member[];
   membersRevision(): number;
   poolers(): readonly PoolerEntry[];
-  /** Of the proxies that are attached. */
+  /** Capacities of the attached proxies. */
   capacities(): readonly InstanceCapacity[];
 }
 
-/** Control's part in handing out connections, over its leaderships. */
+/** Allocates connections on an instance of control, over all its terms. */
 export class ConnectionAllocation {
   private allocator = new ConnectionAllocator(0);
-  private known: readonly unknown[] = [];
-  /** Once seen: proxies that come back one by one would switch it off. */
-  private uneven = false;
+  private knownInputs: readonly unknown[] = [];
+  /** Stays set in a term, as proxies attach one by one. */
+  private isUneven = false;
 
   constructor(private readonly source: AllocationSource) {}
 
-  /** Begins anew with a leadership. */
+  /** Starts with a new allocator. */
   onDidBecomeLeader(now: number): void {
     this.allocator = new ConnectionAllocator(now);
-    this.known = [];
-    this.uneven = false;
+    this.knownInputs = [];
+    this.isUneven = false;
   }
 
-  /** Looks whether instances differ in size. */
+  /** Checks whether proxies differ in capacity. */
   checkCapacities(): void {
-    if (this.uneven || this.source.poolers().length === 0) return;
-    this.uneven = areUneven(this.source.capacities());
+    if (this.isUneven || this.source.poolers().length === 0) return;
+    this.isUneven = areUneven(this.source.capacities());
   }
 
-  /** Who may open how many connections, by what is known now. */
+  /** The allocator of this term, with the current services. */
   get currentAllocator(): ConnectionAllocator {
     const {source} = this;
     const catalog = source.catalog();
     const poolers = source.poolers();
     const revision = source.membersRevision();
-    const known = [catalog, poolers, revision, this.uneven];
-    if (known.some((value, at) => value !== this.known[at])) {
-      this.known = known;
+    const known = [catalog, poolers, revision, this.isUneven];
+    if (known.some((value, index) => value !== this.knownInputs[index])) {
+      this.knownInputs = known;
       const members = source.members();
-      const inputs = {catalog, members, poolers, areUneven: this.uneven};
+      const inputs = {catalog, members, poolers, areUneven: this.isUneven};
       this.allocator.setServices(selectAllocatedServices(inputs));
     }
     return this.allocator;
--- a/src/services/connection_quota/common/connection_allocator.ts
+++ b/src/services/connection_quota/common/connection_allocator.ts
@@ -3,17 +3,17 @@
   ConnectionGrants,
   ConnectionUse,
 } from '../../../schema/generated/fleet';
-import {MemberRoom, type GrantChange} from './member_connections';
 import type {AllocatedService} from './allocated_services';
+import {MemberConnections, type GrantChange} from './member_connections';
 
-/** What a pooler says with a question. */
+/** What a pooler reports with a request for leases. */
 export interface ConnectionReport {
   readonly connections: ConnectionUse[];
-  /** The newest list that it keeps to; 0 for none. */
+  /** The number of the newest list that it applied; 0 for none. */
   readonly grantsNumber: number;
 }
 
-/** A list for one pooler. */
+/** A list of changed grants for one pooler. */
 export interface GrantList {
   readonly pooler: string;
   readonly value: ConnectionGrants;
@@ -23,103 +23,105 @@
 export interface LargeGrantChange extends GrantChange {
   readonly service: string;
   readonly instance: string;
-  /** The list that tells it. */
+  /** The number of the list that carries it. */
   readonly number: number;
 }
 
-/** One pooler's stream to this leader. */
+/** The stream of one pooler to this leader. */
 interface Stream {
-  heardAt: number;
-  /** The newest list that the pooler keeps to. */
-  kept: number;
-  /** What it had was freed, for it said nothing for long. */
-  isFreed: boolean;
-  /** The last list; 0 before the first one. */
+  /** When it opened or the last report was received. */
+  receivedAt: number;
+  /** The number of the newest list that the pooler applied. */
+  applied: number;
+  /** Whether its connections were freed because it did not report. */
+  isFree: boolean;
+  /** The number of the last list that was sent; 0 for none. */
   sent: number;
   pending: ConnectionGrant[];
 }
 
-interface ServiceRoom {
+interface ServiceConnections {
   service: AllocatedService;
-  readonly members: Map<string, MemberRoom>;
+  readonly members: Map<string, MemberConnections>;
 }
 
 /**
- * A pooler that asked nothing for so long has fallen back to its equal share
- * and given back what it does not use, in milliseconds.
+ * How long a pooler applies its grants without a reply of control. Then it
+ * uses an equal share, and closes idle connections beyond it.
  */
 export const GRANT_LEASE_MS = 3_000;
-/** A report of more connections than any member takes is no report. */
-const MOST_CONNECTIONS = 65_535;
-const MOST_NOTED = 256;
+/** Bounds reported counts; no member accepts more connections. */
+const MAX_CONNECTIONS = 65_535;
+const MAX_CHANGES = 256;
 
 /**
- * Hands out the connections to members among the poolers of their services,
- * in one leadership of control.
+ * Grants connections to members to the poolers of their services, in one term
+ * of a control leader.
  */
 export class ConnectionAllocator {
-  private readonly services = new Map<string, ServiceRoom>();
+  private readonly services = new Map<string, ServiceConnections>();
   private readonly streams = new Map<string, Stream>();
-  /** Poolers whose part is known to be free until they report. */
-  private readonly gone = new Set<string>();
-  private noted: LargeGrantChange[] = [];
+  /** Poolers without connections until they report. */
+  private readonly freed = new Set<string>();
+  /** Large changes since the last call of `takeLargeChanges`. */
+  private changes: LargeGrantChange[] = [];
 
-  /** @param since When this leadership began. */
-  constructor(private readonly since: number) {}
+  /** @param startedAt When this leader's term began. */
+  constructor(private readonly startedAt: number) {}
 
-  /** Whether connections of any service are handed out. */
+  /** Whether connections of any service are granted. */
   get isActive(): boolean {
     return this.services.size > 0;
   }
 
-  /** Takes the services whose connections are handed out, as they are now. */
+  /** Takes the current services whose connections are granted. */
   setServices(services: ReadonlyMap<string, AllocatedService>): void {
     for (const [name, known] of this.services) {
-      const withdrawn = {...known.service, poolers: NOBODY};
+      const withdrawn = {...known.service, poolers: NO_POOLERS};
       known.service = services.get(name) ?? withdrawn;
     }
     for (const [name, service] of services) {
       const known = this.services.get(name);
       if (!known) this.services.set(name, {service, members: new Map()});
     }
-    for (const room of this.services.values()) tendMembers(room);
+    for (const known of this.services.values()) updateMembers(known);
   }
 
-  /** Takes what a pooler has and wants. */
+  /** Takes the report of a pooler. */
   report(pooler: string, report: ConnectionReport, now: number): void {
     const stream = this.streams.get(pooler);
     if (!stream) return;
-    stream.heardAt = now;
-    stream.isFreed = false;
-    const kept = Math.min(report.grantsNumber, stream.sent);
-    if (kept !== stream.kept) this.keep(pooler, kept);
-    stream.kept = kept;
+    stream.receivedAt = now;
+    stream.isFree = false;
+    const number = Math.min(report.grantsNumber, stream.sent);
+    if (number !== stream.applied) this.acknowledge(pooler, number);
+    stream.applied = number;
     for (const use of report.connections) {
-      const room = this.services.get(use.service)?.members.get(use.instance);
-      room?.report(pooler, bounded(use), kept, now);
+      const known = this.services.get(use.service)?.members.get(use.instance);
+      known?.report(pooler, bounded(use), number, now);
     }
   }
 
-  /** Frees what a pooler had whose stream closed. */
+  /** Frees the connections of a pooler whose stream closed. */
   detach(pooler: string): void {
     this.streams.delete(pooler);
     this.free(pooler);
   }
 
   /**
-   * Shares out anew, and hands out the lists that are to be sent.
+   * Updates all grants and returns the lists that are to be sent.
    *
    * @param attached The instances that follow this leader.
    */
   allocate(attached: Iterable<string>, now: number): GrantList[] {
-    this.tendStreams(attached, now);
-    for (const [name, room] of this.services) {
-      if (this.isKnown(room, now)) this.share(name, room, now);
+    this.updateStreams(attached, now);
+    for (const [name, known] of this.services) {
+      if (this.isKnown(known, now)) this.allocateService(name, known, now);
     }
     const lists: GrantList[] = [];
     for (const [pooler, stream] of this.streams) {
-      const isUnasked = stream.sent === 0 && this.services.size > 0;
-      if (stream.pending.length === 0 && !isUnasked) continue;
+      const needsFirstList = stream.sent === 0 && this.services.size > 0;
+      if (stream.pending.length === 0 && !needsFirstList) continue;
       const number = ++stream.sent;
       lists.push({pooler, value: {grants: stream.pending, number}});
       stream.pending = [];
@@ -127,11 +129,11 @@
     return lists;
   }
 
-  /** Grants that changed by half or more since the last call. */
+  /** Returns the grants that changed by half or more since the last call. */
   takeLargeChanges(): readonly LargeGrantChange[] {
-    const {noted} = this;
-    this.noted = [];
-    return noted;
+    const {changes} = this;
+    this.changes = [];
+    return changes;
   }
 
   /** Connections of each member that may be open, for metrics. */
@@ -143,90 +145,97 @@
     });
   }
 
-  private tendStreams(attached: Iterable<string>, now: number): void {
+  private updateStreams(attached: Iterable<string>, now: number): void {
     const present = new Set(attached);
     for (const pooler of present) {
       if (!this.streams.has(pooler)) this.attach(pooler, now);
     }
     for (const [pooler, stream] of this.streams) {
       if (!present.has(pooler)) this.detach(pooler);
-      else if (now - stream.heardAt >= GRANT_LEASE_MS && !stream.isFreed) {
-        stream.isFreed = true;
+      else if (now - stream.receivedAt >= GRANT_LEASE_MS && !stream.isFree) {
+        stream.isFree = true;
         this.free(pooler);
       }
     }
   }
 
   private attach(pooler: string, now: number): void {
-    const known = {kept: 0, isFreed: false, sent: 0, pending: []};
-    this.streams.set(pooler, {heardAt: now, ...known});
-    this.gone.delete(pooler);
+    const initial = {applied: 0, isFree: false, sent: 0, pending: []};
+    this.streams.set(pooler, {receivedAt: now, ...initial});
+    this.freed.delete(pooler);
   }
 
-  private keep(pooler: string, kept: number): void {
+  private acknowledge(pooler: string, number: number): void {
     for (const {members} of this.services.values()) {
-      for (const member of members.values()) member.keep(pooler, kept);
+      for (const member of members.values()) member.acknowledge(pooler, number);
     }
   }
 
   private free(pooler: string): void {
-    this.gone.add(pooler);
+    this.freed.add(pooler);
     for (const {members} of this.services.values()) {
       for (const member of members.values()) member.remove(pooler);
     }
   }
 
   /**
-   * Whether all poolers of a service said what they have, or have it no more,
-   * and all that follow this leader answered: one may have been a pooler.
+   * Whether the connections of all poolers of a service are known, and whether
+   * all instances that follow this leader reported.
    *
-   * Guard: a new leader that counts only those that told it already would give
-   * the parts of the others away, while they keep to the word of the old one.
+   * Guard: poolers that did not report to a new leader still apply grants of
+   * the old one. Granted to others, their connections would be in use twice.
    */
-  private isKnown({service, members}: ServiceRoom, now: number): boolean {
-    if (now - this.since >= GRANT_LEASE_MS) return true;
-    const streams = [...this.streams.values()];
-    if (!streams.every(({kept, isFreed}) => kept > 0 || isFreed)) return false;
+  private isKnown(
+    {service, members}: ServiceConnections,
+    now: number,
+  ): boolean {
+    if (now - this.startedAt >= GRANT_LEASE_MS) return true;
+    const all = [...this.streams.values()];
+    if (!all.every(({applied, isFree}) => applied > 0 || isFree)) return false;
     return [...service.poolers].every(pooler => {
-      if (this.gone.has(pooler)) return true;
+      if (this.freed.has(pooler)) return true;
       return [...members.values()].every(member => member.has(pooler));
     });
   }
 
-  private share(service: string, room: ServiceRoom, now: number): void {
+  private allocateService(
+    service: string,
+    known: ServiceConnections,
+    now: number,
+  ): void {
     const next = (pooler: string) => (this.streams.get(pooler)?.sent ?? 0) + 1;
-    for (const [instance, member] of room.members) {
+    for (const [instance, member] of known.members) {
       if (!member.isDue(now)) continue;
-      const awaited = [...room.service.poolers].filter(pooler => {
-        return this.isHeard(pooler) && !member.has(pooler);
+      const awaited = [...known.service.poolers].filter(pooler => {
+        return this.isResponsive(pooler) && !member.has(pooler);
       });
-      const changes = member.share(next, awaited.length, now);
+      const changes = member.allocate(next, awaited.length, now);
       for (const change of changes) {
         const {pooler, after: connections} = change;
         const grant = {service, instance, connections};
         this.streams.get(pooler)?.pending.push(grant);
-        this.note({...change, service, instance, number: next(pooler)});
+        this.record({...change, service, instance, number: next(pooler)});
       }
     }
   }
 
-  private isHeard(pooler: string): boolean {
-    return this.streams.get(pooler)?.isFreed === false;
+  private isResponsive(pooler: string): boolean {
+    return this.streams.get(pooler)?.isFree === false;
   }
 
-  private note(change: LargeGrantChange): void {
+  private record(change: LargeGrantChange): void {
     const {before, after} = change;
     const isLarge = Math.abs(after - before) * 2 >= Math.max(before, 1);
-    if (isLarge && this.noted.length < MOST_NOTED) this.noted.push(change);
+    if (isLarge && this.changes.length < MAX_CHANGES) this.changes.push(change);
   }
 }
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_POOLERS: ReadonlySet<string> = new Set();
 
-function tendMembers({service, members}: ServiceRoom): void {
+function updateMembers({service, members}: ServiceConnections): void {
   for (const instance of service.members) {
-    const member = members.get(instance) ?? new MemberRoom();
-    member.setTerms(service.shared, service.poolers);
+    const member = members.get(instance) ?? new MemberConnections();
+    member.configure(service.shared, service.poolers);
     members.set(instance, member);
   }
   for (const instance of members.keys()) {
@@ -236,8 +245,8 @@
 
 function bounded({open, wanted, granted}: ConnectionUse) {
   return {
-    open: Math.min(open, MOST_CONNECTIONS),
-    wanted: Math.min(wanted, MOST_CONNECTIONS),
-    granted: Math.min(granted, MOST_CONNECTIONS),
+    open: Math.min(open, MAX_CONNECTIONS),
+    wanted: Math.min(wanted, MAX_CONNECTIONS),
+    granted: Math.min(granted, MAX_CONNECTIONS),
   };
 }
--- a/src/services/connection_quota/common/connection_division.ts
+++ b/src/services/connection_quota/common/connection_division.ts
@@ -1,49 +1,52 @@
 import {sumOf} from '../../../base/common/numbers';
 
-/** What a pooler has at least of a member while others want all, if it fits. */
-const FLOOR = 2;
-/** What is wanted changes within the time in which grants do: a part more. */
-const HEADROOM = 0.25;
+/** Each pooler gets at least this many connections, if there are enough. */
+const MIN_SHARE = 2;
+/** Covers a rise of the demand until grants follow. */
+const HEADROOM_FRACTION = 0.25;
 
-/** What one pooler needs for work that would keep so many connections busy. */
-export function needOf(wanted: number): number {
-  return wanted + Math.ceil(wanted * HEADROOM);
+/** Returns the connections that a pooler needs for those that it wants. */
+export function neededFor(wanted: number): number {
+  return wanted + Math.ceil(wanted * HEADROOM_FRACTION);
 }
 
 /**
- * Connections of one member for each pooler, by what each wants.
+ * Divides the connections of one member among poolers by what each wants.
  *
- * All get what they need where that fits, and the rest by the same measure;
- * else a floor each, and beyond it by what they need: those who wait then wait
- * about as long everywhere.
+ * Where all needs fit, the rest is divided in proportion to them. Otherwise
+ * each pooler gets the minimum, and the rest is divided in proportion to the
+ * needs beyond it, so that operations wait about as long everywhere.
  */
-export function shareRoom(room: number, wanted: readonly number[]): number[] {
+export function divideConnections(
+  available: number,
+  wanted: readonly number[],
+): number[] {
   const count = wanted.length;
   if (count === 0) return [];
-  const each = Math.floor(room / count);
-  const floor = Math.max(1, Math.min(FLOOR, each));
-  const needs = wanted.map(one => Math.max(floor, needOf(one)));
-  const all = sumOf(needs);
-  if (all <= room) return addParts(needs, room - all, needs);
-  const beyond = needs.map(need => need - floor);
-  const floors = needs.map(() => floor);
-  return addParts(floors, Math.max(0, room - floor * count), beyond);
+  const equalShare = Math.floor(available / count);
+  const minShare = Math.max(1, Math.min(MIN_SHARE, equalShare));
+  const needs = wanted.map(one => Math.max(minShare, neededFor(one)));
+  const total = sumOf(needs);
+  if (total <= available) return addParts(needs, available - total, needs);
+  const beyond = needs.map(need => need - minShare);
+  const bases = needs.map(() => minShare);
+  return addParts(bases, Math.max(0, available - minShare * count), beyond);
 }
 
-/** Adds whole parts of what is left, in proportion to weights. */
+/** Adds whole parts of a rest, in proportion to weights. */
 function addParts(
   bases: readonly number[],
-  left: number,
+  rest: number,
   weights: readonly number[],
 ): number[] {
-  const weight = sumOf(weights);
-  if (weight === 0) return [...bases];
-  const exact = weights.map(one => (left * one) / weight);
+  const totalWeight = sumOf(weights);
+  if (totalWeight === 0) return [...bases];
+  const exact = weights.map(one => (rest * one) / totalWeight);
   const parts = exact.map(part => Math.floor(part));
   const order = exact
-    .map((part, at) => ({at, rest: part - Math.floor(part)}))
-    .sort((a, b) => b.rest - a.rest || a.at - b.at);
-  const spare = left - sumOf(parts);
-  for (const {at} of order.slice(0, spare)) parts[at]!++;
-  return bases.map((base, at) => base + parts[at]!);
+    .map((part, index) => ({index, remainder: part - Math.floor(part)}))
+    .sort((a, b) => b.remainder - a.remainder || a.index - b.index);
+  const spare = rest - sumOf(parts);
+  for (const {index} of order.slice(0, spare)) parts[index]!++;
+  return bases.map((base, index) => base + parts[index]!);
 }
--- a/src/services/connection_quota/common/connection_metrics.ts
+++ b/src/services/connection_quota/common/connection_metrics.ts
@@ -1,7 +1,7 @@
-import type {MemberConnectionsView} from '../../connection_quota/common/connection_quota';
-import type {ConnectionAllocator} from '../../connection_quota/common/connection_allocator';
+import type {ConnectionAllocator} from './connection_allocator';
+import type {MemberConnectionsView} from './connection_quota';
 
-/** What a proxy has, wants and may have of members, for its metrics. */
+/** Renders the connections of a proxy to members. */
 export function renderConnectionUse(
   views: readonly MemberConnectionsView[],
 ): string {
@@ -18,7 +18,7 @@
     .join('');
 }
 
-/** What is open or may be opened by all poolers, for control's metrics. */
+/** Renders the connections that all poolers together may have open. */
 export function renderChargedConnections({
   charges,
 }: ConnectionAllocator): string {
--- a/src/services/connection_quota/common/connection_quota.ts
+++ b/src/services/connection_quota/common/connection_quota.ts
@@ -6,16 +6,17 @@
 import {GRANT_LEASE_MS, type ConnectionReport} from './connection_allocator';
 import {WantedConnections} from './wanted_connections';
 
-/** What a dispatcher has and would use of one member. */
+/** The connections of a dispatcher to one member. */
 export interface MemberUse {
   /** Open and being opened. */
   readonly open: number;
-  /** Under way, and waiting for a connection. */
+  /** Needed by operations that run or wait for a connection. */
   readonly wanted: number;
 }
 
-/** One member as this proxy uses it, for metrics. */
+/** The connections of this proxy to one member, for metrics. */
 export interface MemberConnectionsView extends ConnectionUse {
+  /** Whether its grant expired. */
   readonly isExpired: boolean;
 }
 
@@ -24,73 +25,69 @@
   readonly instance: string;
   open: number;
   readonly wanted: WantedConnections;
-  /** Undefined where control hands out no connections to the member. */
+  /** Undefined where control grants no connections to the member. */
   granted: number | undefined;
-  /** Control was silent for so long that its word counts no more. */
-  lapsed: boolean;
+  isExpired: boolean;
+  /** The last report; undefined before the first one. */
   reported: ConnectionUse | undefined;
 }
 
-/** What is told where control did not ask. */
+/** The report where control requested none. */
 export const EMPTY_REPORT: ConnectionReport = {
   connections: [],
   grantsNumber: 0,
 };
 
-/** A change of what is wanted by less than this part is not worth a word. */
-const NEWS_PART = 0.25;
-/** What cannot wait for the next question is told at most so often, in ms. */
-const URGENT_EVERY_MS = 100;
+/** A smaller relative change of the wanted connections is not reported. */
+const MIN_REPORTED_FRACTION = 0.25;
+const URGENT_INTERVAL_MS = 100;
 
 /**
- * A proxy's part in handing out connections: what it has and wants of members
- * whose connections it keeps, and what control granted it.
+ * The connections that this proxy may open to members. Reports what is open and
+ * wanted to control, and applies the grants that control sends.
  */
 export class ConnectionQuota {
   private readonly members = new Map<string, KnownMember>();
-  /** Whether it ever had a grant of those that hand connections out now. */
+  /** Whether any list contained a grant while control manages connections. */
   private wasGranted = false;
-  /** Control hands connections out, by its word of late. */
-  private shared = false;
-  /** The instance of control that is followed asked what is used here. */
-  private asked = false;
-  /** The newest list that is kept to. */
-  private number = 0;
-  /** The list that the last report named. */
-  private toldNumber = 0;
-  private toldAt = -Infinity;
-  /** When the newest question was asked that control answered. */
-  private heardAt = -Infinity;
+  private isManaged = false;
+  private isRequested = false;
+  /** The number of the newest list of grants in force. */
+  private listNumber = 0;
+  /** The list that the last report acknowledged. */
+  private reportedNumber = 0;
+  private reportedAt = -Infinity;
+  /** When the newest request was sent that control answered. */
+  private renewedAt = -Infinity;
   private attachedAt = -Infinity;
-  /** Control answered a question within a lease. */
-  private isInTouch = false;
+  /** Whether control answered a request within the lease. */
+  private hasLease = false;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Whether control asks what is open and wanted here. */
+  /** Whether control requested reports. */
   get isReportRequested(): boolean {
-    return this.asked;
+    return this.isRequested;
   }
 
-  /** Whether control hands out connections, by its word of late. */
+  /** Whether control grants connections, by a message within the lease. */
   get isManagedByControl(): boolean {
-    this.tendLease();
-    return this.shared;
+    this.expireLease();
+    return this.isManaged;
   }
 
-  /** Takes note of what a dispatcher has and wants of a member. */
+  /** Records the connections of a dispatcher to a member. */
   updateUse(service: string, instance: string, use: MemberUse): void {
     const known = this.memberOf(service, instance);
     known.open = use.open;
-    known.wanted.note(use.wanted, this.clock.now());
+    known.wanted.record(use.wanted, this.clock.now());
   }
 
-  /** Takes note that a member is gone. */
   removeMember(service: string, instance: string): void {
     this.members.delete(keyOf(service, instance));
   }
 
-  /** Takes note that a member refused more than is open. */
+  /** The member refused more connections than the open ones. */
   onDidRefuseConnection(service: string, instance: string, open: number): void {
     const known = this.members.get(keyOf(service, instance));
     if (known?.granted === undefined) return;
@@ -98,8 +95,8 @@
   }
 
   /**
-   * Connections that it may have to a member; undefined where control hands
-   * none out. Without control for a lease it falls back to an equal share.
+   * Returns how many connections to a member may be open; undefined where
+   * control does not manage them. An equal share after the lease expired.
    */
   limitOf(
     service: string,
@@ -107,79 +104,79 @@
     equalShare: number,
   ): number | undefined {
     if (!this.wasGranted) return undefined;
-    this.tendLease();
+    this.expireLease();
     const known = this.members.get(keyOf(service, instance));
     if (!known) return undefined;
-    if (known.granted !== undefined && this.isInTouch) return known.granted;
-    const isLapsed = known.lapsed && (this.asked || !this.isInTouch);
-    return isLapsed ? Math.max(1, Math.floor(equalShare)) : undefined;
+    if (known.granted !== undefined && this.hasLease) return known.granted;
+    const isExpired = known.isExpired && (this.isRequested || !this.hasLease);
+    return isExpired ? Math.max(1, Math.floor(equalShare)) : undefined;
   }
 
   // ---- Control ----
 
-  /** Takes note that another instance of control is followed from now on. */
+  /** This proxy attached to another instance of control. */
   onDidAttach(): void {
-    this.asked = false;
-    this.number = 0;
-    this.toldNumber = 0;
-    this.toldAt = -Infinity;
+    this.isRequested = false;
+    this.listNumber = 0;
+    this.reportedNumber = 0;
+    this.reportedAt = -Infinity;
     this.attachedAt = this.clock.now();
     for (const known of this.members.values()) known.reported = undefined;
   }
 
-  /** Takes note of an answer of control to a question. */
-  extendLease(askedAt: number): void {
-    this.tendLease();
-    this.heardAt = Math.max(this.heardAt, askedAt);
-    this.isInTouch = this.clock.now() - this.heardAt < GRANT_LEASE_MS;
+  /** Control answered a request that was sent at a time. */
+  extendLease(requestedAt: number): void {
+    this.expireLease();
+    this.renewedAt = Math.max(this.renewedAt, requestedAt);
+    this.hasLease = this.clock.now() - this.renewedAt < GRANT_LEASE_MS;
   }
 
-  /** Takes a list of grants, unless it is older than the one in force. */
+  /** Applies a list of grants, unless it is older than the one in force. */
   setGrants({grants, number}: ConnectionGrants): void {
-    if (number <= this.number) return;
-    this.asked = true;
-    this.shared = true;
-    this.number = number;
+    if (number <= this.listNumber) return;
+    this.isRequested = true;
+    this.isManaged = true;
+    this.listNumber = number;
     this.wasGranted ||= grants.length > 0;
     for (const {service, instance, connections} of grants) {
       const known = this.memberOf(service, instance);
       known.granted = connections > 0 ? connections : undefined;
-      known.lapsed = false;
+      known.isExpired = false;
     }
   }
 
-  /** Whether something should be told before the next question. */
+  /** Whether to report before the next regular request. */
   get isReportUrgent(): boolean {
-    if (!this.asked) return false;
-    if (this.clock.now() - this.toldAt < URGENT_EVERY_MS) return false;
-    if (this.toldNumber !== this.number) return true;
-    return [...this.members.values()].some(known => this.lacks(known));
+    if (!this.isRequested) return false;
+    if (this.clock.now() - this.reportedAt < URGENT_INTERVAL_MS) return false;
+    if (this.reportedNumber !== this.listNumber) return true;
+    return [...this.members.values()].some(known => this.isUrgent(known));
   }
 
-  /** What changed since the last report. */
+  /** Returns what changed since the last report. */
   takeReport(): ConnectionReport {
-    if (!this.asked) return EMPTY_REPORT;
-    this.tendLease();
+    if (!this.isRequested) return EMPTY_REPORT;
+    this.expireLease();
     const connections: ConnectionUse[] = [];
     for (const known of this.members.values()) {
       const use = this.useOf(known);
-      if (known.reported && !isNews(known.reported, use)) continue;
+      if (known.reported && !isReportable(known.reported, use)) continue;
       known.reported = use;
       connections.push(use);
     }
-    this.toldAt = this.clock.now();
-    this.toldNumber = this.number;
-    return {connections, grantsNumber: this.number};
+    this.reportedAt = this.clock.now();
+    this.reportedNumber = this.listNumber;
+    return {connections, grantsNumber: this.listNumber};
   }
 
-  /** What it has, wants and may have of each member. */
   get views(): readonly MemberConnectionsView[] {
     return [...this.members.values()].map(known => {
-      return {...this.useOf(known), isExpired: known.lapsed};
+      return {...this.useOf(known), isExpired: known.isExpired};
     });
   }
 
-  private lacks(known: KnownMember): boolean {
+  /** Whether a member was never reported, or much more of it is wanted. */
+  private isUrgent(known: KnownMember): boolean {
     const {granted, reported} = known;
     if (reported === undefined) return true;
     const wanted = known.wanted.get(this.clock.now());
@@ -194,29 +191,30 @@
   }
 
   /**
-   * Guard: control frees the part of a pooler that it did not hear for a
-   * lease; grants that were kept longer than that would count twice.
+   * Guard: control grants the share of a pooler that sent nothing for a lease
+   * to others. Applied for longer, its grants would be in use twice.
    */
-  private tendLease(): void {
-    if (!this.shared) return;
+  private expireLease(): void {
+    if (!this.isManaged) return;
     const now = this.clock.now();
-    const isOver = now - this.heardAt >= GRANT_LEASE_MS;
-    if (this.isInTouch && isOver) {
-      this.isInTouch = false;
+    const isOver = now - this.renewedAt >= GRANT_LEASE_MS;
+    if (this.hasLease && isOver) {
+      this.hasLease = false;
       this.dropGrants(true);
-    } else if (!this.asked && now - this.attachedAt >= GRANT_LEASE_MS) {
-      // This leader hands none out; what an earlier one said is over.
+    } else if (!this.isRequested && now - this.attachedAt >= GRANT_LEASE_MS) {
+      // This leader grants no connections, so those of an earlier one are void.
       this.dropGrants(false);
       this.wasGranted = false;
-      this.shared = false;
+      this.isManaged = false;
     }
   }
 
-  private dropGrants(lapsed: boolean): void {
+  private dropGrants(isExpired: boolean): void {
     for (const known of this.members.values()) {
-      known.lapsed = lapsed && (known.lapsed || known.granted !== undefined);
+      known.isExpired =
+        isExpired && (known.isExpired || known.granted !== undefined);
       known.granted = undefined;
-      // Control may have freed all of it: it needs to hear of it anew.
+      // Control may have freed all of it and needs a full report.
       known.reported = undefined;
     }
   }
@@ -225,17 +223,17 @@
     const key = keyOf(service, instance);
     const known = this.members.get(key);
     if (known) return known;
-    const made: KnownMember = {
+    const added: KnownMember = {
       service,
       instance,
       open: 0,
       wanted: new WantedConnections(),
       granted: undefined,
-      lapsed: false,
+      isExpired: false,
       reported: undefined,
     };
-    this.members.set(key, made);
-    return made;
+    this.members.set(key, added);
+    return added;
   }
 }
 
@@ -243,15 +241,15 @@
   return `${service} ${instance}`;
 }
 
-/** Whether control would decide otherwise for it. */
-function isNews(before: ConnectionUse, now: ConnectionUse): boolean {
+/** Whether a change may affect the grants of control. */
+function isReportable(before: ConnectionUse, now: ConnectionUse): boolean {
   if (before.granted !== now.granted) return true;
   if (chargeOf(before) !== chargeOf(now)) return true;
   const change = Math.abs(now.wanted - before.wanted);
-  return change >= Math.max(1, before.wanted * NEWS_PART);
+  return change >= Math.max(1, before.wanted * MIN_REPORTED_FRACTION);
 }
 
-/** What is open within a grant counts as that grant. */
+/** Connections within a grant are charged as the whole grant. */
 function chargeOf({open, granted}: ConnectionUse): number {
   return Math.max(open, granted);
 }
--- a/src/services/connection_quota/common/member_connections.ts
+++ b/src/services/connection_quota/common/member_connections.ts
@@ -1,19 +1,23 @@
 import {sumOf} from '../../../base/common/numbers';
-import {needOf, shareRoom} from './connection_division';
+import {divideConnections, neededFor} from './connection_division';
 
-/** What a pooler says of one member. */
+/** The report of a pooler on one member. */
 export interface ReportedUse {
   readonly open: number;
   readonly wanted: number;
-  /** By the newest grant that it keeps to; 0 for none. */
+  /** By the newest grant that it applies; 0 for none. */
   readonly granted: number;
 }
 
-/** Why a grant changed. */
+/** Why a grant changed, for the log. */
 export type GrantReason =
-  'new here' | 'wants more' | 'others left' | 'others want more' | 'withdrawn';
+  | 'new pooler'
+  | 'higher demand'
+  | 'pooler left'
+  | 'higher demand elsewhere'
+  | 'not a pooler any more';
 
-/** A grant that changed. */
+/** A change of a grant, for the log. */
 export interface GrantChange {
   readonly pooler: string;
   readonly before: number;
@@ -22,57 +26,57 @@
   readonly reason: GrantReason;
 }
 
-/** One pooler that has, or may have, connections to the member. */
+/** A pooler that has, or may have, connections to the member. */
 interface Holder {
   readonly pooler: string;
   open: number;
   wanted: number;
-  /** The newest grant that it was told; 0 for none. */
-  told: number;
-  /** The list that told it. */
-  toldBy: number;
-  /** The most that it may still go by, until it keeps to that list. */
-  most: number;
+  /** The newest grant that was sent; 0 for none. */
+  sent: number;
+  /** The number of the list that carried it. */
+  sentIn: number;
+  /** The largest grant that it may apply until it acknowledges that list. */
+  inUse: number;
 }
 
-/** Numbers the list of changes that a pooler is told next. */
-export type NextList = (pooler: string) => number;
+/** Returns the number of the list that is sent to a pooler next. */
+export type NextListNumber = (pooler: string) => number;
 
-/** This part of a member's connections is kept for poolers that come. */
-const KEPT_PART = 1 / 8;
-/** A grant that differs by less than this part from what it should be stays. */
-const SLACK_PART = 1 / 8;
-/** After a member refused connections below its grants none rise, in ms. */
+/** The fraction of connections that is kept for poolers that start. */
+const KEPT_FRACTION = 1 / 8;
+/** A grant within this fraction of its target is not changed. */
+const SLACK_FRACTION = 1 / 8;
+/** How long no grant is raised after the member refused connections. */
 const FULL_MS = 600;
 
 /**
- * The connections of one member, and who may open how many of them.
+ * Divides the connections of one member among poolers.
  *
- * Guard: a pooler counts with the most of what it may go by and what it has
- * open. Counted with its newest grant alone, it would go on by the one before
- * while others open what was taken from it, and the member refuses both.
+ * Guard: a pooler is charged with its open connections, or with the largest
+ * grant that it may apply. A lowered grant that counted at once would be in use
+ * twice, and the member would refuse connections.
  */
-export class MemberRoom {
+export class MemberConnections {
   private readonly holders = new Map<string, Holder>();
-  /** No grant rises until then: the member refused connections. */
+  /** When grants may be raised again; -Infinity where they may. */
   private fullUntil = -Infinity;
-  /** A pooler left since grants were last raised. */
-  private lostSome = false;
+  /** Whether a pooler left since grants were last raised. */
+  private hasLostPooler = false;
   private isChanged = true;
-  private shared = 1;
+  private maxOpen = 1;
   private poolers: ReadonlySet<string> = new Set();
 
   /**
-   * @param shared Connections that all instances together may have.
-   * @param poolers Those that connections are handed out to.
+   * @param maxOpen Connections that all instances together may have.
+   * @param poolers The poolers that get grants.
    */
-  setTerms(shared: number, poolers: ReadonlySet<string>): void {
-    this.shared = shared;
+  configure(maxOpen: number, poolers: ReadonlySet<string>): void {
+    this.maxOpen = maxOpen;
     this.poolers = poolers;
     this.isChanged = true;
   }
 
-  /** Whether something changed since they were last shared out. */
+  /** Whether grants may have to change. */
   isDue(now: number): boolean {
     return this.isChanged || (this.isFull && now >= this.fullUntil);
   }
@@ -90,48 +94,48 @@
     return sumOf([...this.holders.values()].map(chargeOf));
   }
 
-  /** Takes what a pooler has and wants, and the newest list it keeps to. */
-  report(pooler: string, use: ReportedUse, kept: number, now: number): void {
+  /** Takes a report of a pooler that applied the list with a number. */
+  report(pooler: string, use: ReportedUse, number: number, now: number): void {
     const {open, wanted, granted} = use;
     const holder = this.holders.get(pooler);
     this.isChanged = true;
     if (!holder) {
-      const told = {told: granted, toldBy: 0, most: granted};
-      this.holders.set(pooler, {pooler, open, wanted, ...told});
+      const grant = {sent: granted, sentIn: 0, inUse: granted};
+      this.holders.set(pooler, {pooler, open, wanted, ...grant});
       return;
     }
     holder.open = open;
     holder.wanted = wanted;
-    this.keep(pooler, kept);
-    if (kept < holder.toldBy) return;
-    // It keeps to less than it was told: the member refused more.
-    if (granted < holder.told) this.fullUntil = now + FULL_MS;
-    holder.told = granted;
-    holder.most = granted;
+    this.acknowledge(pooler, number);
+    if (number < holder.sentIn) return;
+    // The pooler lowered its grant because the member refused a connection.
+    if (granted < holder.sent) this.fullUntil = now + FULL_MS;
+    holder.sent = granted;
+    holder.inUse = granted;
   }
 
-  /** Takes note of the newest list that a pooler keeps to. */
-  keep(pooler: string, kept: number): void {
-    const holder = this.holders.get(pooler);
-    if (!holder || kept < holder.toldBy || holder.most === holder.told) return;
-    holder.most = holder.told;
+  /** A pooler applied the list with a number. */
+  acknowledge(pooler: string, number: number): void {
+    const known = this.holders.get(pooler);
+    if (!known || number < known.sentIn || known.inUse === known.sent) return;
+    known.inUse = known.sent;
     this.isChanged = true;
   }
 
-  /** Frees what a pooler had. */
+  /** Frees the connections of a pooler. */
   remove(pooler: string): void {
     if (!this.holders.delete(pooler)) return;
-    this.lostSome = true;
+    this.hasLostPooler = true;
     this.isChanged = true;
   }
 
   /**
-   * Shares the connections out anew, as far as somebody lacks some. What is
-   * lowered goes to others once it is free.
+   * Changes grants where a pooler lacks connections. What one grant is lowered
+   * by goes to others once it is free.
    *
-   * @param awaited Poolers that follow the leader and did not report yet.
+   * @param awaited Number of attached poolers that did not report yet.
    */
-  share(next: NextList, awaited: number, now: number): GrantChange[] {
+  allocate(next: NextListNumber, awaited: number, now: number): GrantChange[] {
     this.isChanged = false;
     if (now >= this.fullUntil) this.fullUntil = -Infinity;
     const changes = this.withdraw(next);
@@ -139,85 +143,91 @@
       return this.poolers.has(pooler);
     });
     const others = this.charged - sumOf(holders.map(chargeOf));
-    const kept = Math.ceil(this.shared * KEPT_PART);
-    const room = Math.max(holders.length, this.shared - kept - others);
-    const wanted = holders.map(one => Math.min(one.wanted, this.shared));
-    const targets = shareRoom(room, [...wanted, ...Array(awaited).fill(0)]);
-    const plan = holders.map((holder, at) => ({holder, target: targets[at]!}));
-    if (!isShort(plan) && sumOf(holders.map(({told}) => told)) <= room) {
+    const kept = Math.ceil(this.maxOpen * KEPT_FRACTION);
+    const available = Math.max(holders.length, this.maxOpen - kept - others);
+    const wanted = holders.map(one => Math.min(one.wanted, this.maxOpen));
+    const targets = divideConnections(available, [
+      ...wanted,
+      ...Array(awaited).fill(0),
+    ]);
+    const plan = holders.map((holder, index) => ({
+      holder,
+      target: targets[index]!,
+    }));
+    if (!isShort(plan) && sumOf(holders.map(({sent}) => sent)) <= available) {
       return changes;
     }
     for (const {holder, target} of plan) {
-      if (holder.told - target <= holder.told * SLACK_PART) continue;
-      changes.push(this.tell(holder, target, 'others want more', next));
+      if (holder.sent - target <= holder.sent * SLACK_FRACTION) continue;
+      changes.push(this.grant(holder, target, 'higher demand elsewhere', next));
     }
     if (this.isFull) return changes;
     changes.push(...this.raise(plan, kept, next));
     return changes;
   }
 
-  private withdraw(next: NextList): GrantChange[] {
+  private withdraw(next: NextListNumber): GrantChange[] {
     const changes: GrantChange[] = [];
     for (const holder of this.holders.values()) {
-      if (this.poolers.has(holder.pooler) || holder.told === 0) continue;
-      changes.push(this.tell(holder, 0, 'withdrawn', next));
+      if (this.poolers.has(holder.pooler) || holder.sent === 0) continue;
+      changes.push(this.grant(holder, 0, 'not a pooler any more', next));
     }
     return changes;
   }
 
-  /** Gives out what is free, first to those that have nothing. */
+  /** Grants free connections, first to poolers that have the least. */
   private raise(
     plan: readonly {holder: Holder; target: number}[],
     kept: number,
-    next: NextList,
+    next: NextListNumber,
   ): GrantChange[] {
     const changes: GrantChange[] = [];
-    const order = [...plan].sort((a, b) => partOf(a) - partOf(b));
+    const order = [...plan].sort((a, b) => ratioOf(a) - ratioOf(b));
     for (const {holder, target} of order) {
-      const isNew = holder.told === 0;
-      const least = isNew ? 0 : holder.told * SLACK_PART;
-      if (target - holder.told <= least) continue;
-      const free = this.shared - this.charged - (isNew ? 0 : kept);
-      // What it is charged with already costs nobody anything.
-      const most = chargeOf(holder) + Math.max(0, free);
-      const after = Math.min(target, most);
-      if (after <= holder.told) continue;
-      const reason = isNew ? 'new here' : this.reasonToRaise;
-      changes.push(this.tell(holder, after, reason, next));
+      const isNew = holder.sent === 0;
+      const minChange = isNew ? 0 : holder.sent * SLACK_FRACTION;
+      if (target - holder.sent <= minChange) continue;
+      const free = this.maxOpen - this.charged - (isNew ? 0 : kept);
+      // A grant up to its own charge takes nothing from others.
+      const maxGrant = chargeOf(holder) + Math.max(0, free);
+      const after = Math.min(target, maxGrant);
+      if (after <= holder.sent) continue;
+      const reason = isNew ? 'new pooler' : this.reasonToRaise;
+      changes.push(this.grant(holder, after, reason, next));
     }
-    this.lostSome = false;
+    this.hasLostPooler = false;
     return changes;
   }
 
   private get reasonToRaise(): GrantReason {
-    return this.lostSome ? 'others left' : 'wants more';
+    return this.hasLostPooler ? 'pooler left' : 'higher demand';
   }
 
-  private tell(
+  private grant(
     holder: Holder,
     after: number,
     reason: GrantReason,
-    next: NextList,
+    next: NextListNumber,
   ): GrantChange {
-    const {pooler, wanted, told: before} = holder;
-    holder.most = Math.max(holder.most, after);
-    holder.told = after;
-    holder.toldBy = next(pooler);
+    const {pooler, wanted, sent: before} = holder;
+    holder.inUse = Math.max(holder.inUse, after);
+    holder.sent = after;
+    holder.sentIn = next(pooler);
     return {pooler, before, after, wanted, reason};
   }
 }
 
-function chargeOf({open, most}: Holder): number {
-  return Math.max(open, most);
+function chargeOf({open, inUse}: Holder): number {
+  return Math.max(open, inUse);
 }
 
-/** Whether somebody has less than it needs and should have. */
+/** Whether a pooler has less than it needs and less than its target. */
 function isShort(plan: readonly {holder: Holder; target: number}[]): boolean {
-  return plan.some(({holder: {told, wanted}, target}) => {
-    return told === 0 || told < Math.min(target, needOf(wanted));
+  return plan.some(({holder: {sent, wanted}, target}) => {
+    return sent === 0 || sent < Math.min(target, neededFor(wanted));
   });
 }
 
-function partOf({holder, target}: {holder: Holder; target: number}): number {
-  return holder.told / Math.max(1, target);
+function ratioOf({holder, target}: {holder: Holder; target: number}): number {
+  return holder.sent / Math.max(1, target);
 }
--- a/src/services/connection_quota/common/wanted_connections.ts
+++ b/src/services/connection_quota/common/wanted_connections.ts
@@ -1,17 +1,16 @@
-/** What was wanted counts half as much after this, in milliseconds. */
 const HALF_LIFE_MS = 1_500;
 
 /**
- * How many connections to one member work keeps busy: more counts at once,
- * less over seconds, for work comes in bursts.
+ * The connections to one member that operations need. Follows a rise at once
+ * and a fall over seconds, as operations arrive in bursts.
  */
 export class WantedConnections {
   private value = 0;
-  private at = 0;
+  private recordedAt = 0;
 
-  note(wanted: number, now: number): void {
+  record(wanted: number, now: number): void {
     this.value = Math.max(wanted, this.decayed(now));
-    this.at = now;
+    this.recordedAt = now;
   }
 
   get(now: number): number {
@@ -19,6 +18,6 @@
   }
 
   private decayed(now: number): number {
-    return this.value * 0.5 ** ((now - this.at) / HALF_LIFE_MS);
+    return this.value * 0.5 ** ((now - this.recordedAt) / HALF_LIFE_MS);
   }
 }
--- a/src/services/connection_quota/test/common/allocated_services.test.ts
+++ b/src/services/connection_quota/test/common/allocated_services.test.ts
@@ -1,7 +1,7 @@
 import {expect, it} from 'vitest';
 import type {Catalog, Member} from '../../../../schema/generated/fleet';
 import {areUneven} from '../../common/capacity';
-import {selectAllocatedServices} from '../../../connection_quota/common/allocated_services';
+import {selectAllocatedServices} from '../../common/allocated_services';
 
 const POOLERS = [
   {service: 'books', instance: 'p1', address: 'p1:1', site: 'a'},
@@ -28,25 +28,25 @@
   catalog: Catalog,
   poolers = POOLERS,
   members: Member[] = [],
-  uneven = false,
+  isUneven = false,
 ) => {
-  const inputs = {catalog, members, poolers, areUneven: uneven};
+  const inputs = {catalog, members, poolers, areUneven: isUneven};
   return [...selectAllocatedServices(inputs).keys()];
 };
 
-it('hands out connections where poolers serve accounts with limits', () => {
+it('are those whose poolers serve accounts with limits', () => {
   expect(namesOf(makeCatalog(true, true))).toEqual(['books']);
 });
 
-it('hands out connections where instances differ in size', () => {
+it('are those with poolers where instances differ in capacity', () => {
   const plain = makeCatalog(false, false);
   expect(namesOf(plain, POOLERS, [], true)).toEqual(['books']);
-  const sizes = [0.783, 0.891].map(cores => ({cores, linkMbps: 5}));
-  expect(areUneven(sizes)).toBe(true);
+  const capacities = [0.783, 0.891].map(cores => ({cores, linkMbps: 5}));
+  expect(areUneven(capacities)).toBe(true);
 });
 
-it('changes nothing in any other deployment', () => {
-  // What served well without it must not pay for it, or behave otherwise.
+it('are none in other deployments', () => {
+  // Guards against a change of behaviour where equal shares are sufficient.
   expect(namesOf(makeCatalog(false, false))).toEqual([]);
   expect(namesOf(makeCatalog(true, false))).toEqual([]);
   expect(namesOf(makeCatalog(false, true))).toEqual([]);
--- a/src/services/connection_quota/test/common/allocation_fixture.ts
+++ b/src/services/connection_quota/test/common/allocation_fixture.ts
@@ -1,46 +1,46 @@
 import {ManualClock} from '../../../../base/common/clock';
-import {ConnectionQuota} from '../../../connection_quota/common/connection_quota';
-import {ConnectionAllocator} from '../../../connection_quota/common/connection_allocator';
-import type {AllocatedService} from '../../../connection_quota/common/allocated_services';
+import {ConnectionQuota} from '../../common/connection_quota';
+import {ConnectionAllocator} from '../../common/connection_allocator';
+import type {AllocatedService} from '../../common/allocated_services';
 
-/** The one service and member of these tests. */
-export const SERVICE = 'books';
+/** The service and the member of these tests. */
+export const BOOKS = 'books';
 export const MEMBER = 'm1';
-const QUESTION_MS = 400;
+const REQUEST_INTERVAL_MS = 400;
 
-interface Sent {
+interface Message {
   readonly at: number;
   readonly epoch: number;
-  act(): void;
+  deliver(): void;
 }
 
-/** A proxy with work for the member, behind a way to control. */
+/** A pooler that uses the member, connected to control with a delay. */
 export class TestPooler {
-  readonly room: ConnectionQuota;
+  readonly quota: ConnectionQuota;
   /** Connections that are open. */
   open = 0;
-  /** What its work would keep busy. */
-  wants = 0;
+  /** Connections that its operations need. */
+  wanted = 0;
   isAlive = true;
-  /** Its questions and control's words are lost. */
+  /** Whether messages to and from control are lost. */
   isCutOff = false;
-  /** Work goes on on connections that it should give back. */
-  isHolding = false;
-  /** Counts the streams, so that what an ended one carries is lost. */
+  /** Whether operations keep connections beyond a lowered grant. */
+  keepsOpen = false;
+  /** Numbers its streams; messages of an ended one are lost. */
   epoch = 0;
-  readonly sent: Sent[] = [];
-  nextQuestionAt = 0;
+  readonly inFlight: Message[] = [];
+  dueAt = 0;
 
   constructor(
     readonly name: string,
     readonly clock: ManualClock,
   ) {
-    this.room = new ConnectionQuota(clock);
+    this.quota = new ConnectionQuota(clock);
   }
 
   get limit(): number {
-    // What it may have without a grant is no matter of control's sums.
-    return this.room.limitOf(SERVICE, MEMBER, 0) ?? 0;
+    // Connections without a grant are not part of what control divides.
+    return this.quota.limitOf(BOOKS, MEMBER, 0) ?? 0;
   }
 
   get isGranted(): boolean {
@@ -48,29 +48,29 @@
   }
 
   private get granted(): number | undefined {
-    const view = this.room.views[0];
+    const view = this.quota.views[0];
     return view && view.granted > 0 ? view.granted : undefined;
   }
 
   work(): void {
     const limit = this.isGranted ? this.limit : 0;
-    if (this.open > limit && !this.isHolding) this.open = limit;
-    if (this.open < limit) this.open = Math.min(limit, this.wants);
-    const use = {open: this.open, wanted: this.wants};
-    if (this.room.isReportRequested) this.room.updateUse(SERVICE, MEMBER, use);
+    if (this.open > limit && !this.keepsOpen) this.open = limit;
+    if (this.open < limit) this.open = Math.min(limit, this.wanted);
+    const use = {open: this.open, wanted: this.wanted};
+    if (this.quota.isReportRequested) this.quota.updateUse(BOOKS, MEMBER, use);
   }
 }
 
-/** Poolers before one member, and the leader of control that they follow. */
+/** The poolers of one member, and the leader of control. */
 export class TestFleet {
   readonly clock = new ManualClock();
   readonly poolers: TestPooler[] = [];
   readonly listed = new Set<string>();
   leader: ConnectionAllocator;
-  wayMs = (): number => 20;
+  delayMs = (): number => 20;
 
   constructor(
-    readonly shared: number,
+    readonly maxOpen: number,
     count: number,
   ) {
     this.clock.advance(100_000);
@@ -82,8 +82,8 @@
     const pooler = new TestPooler(`p${this.poolers.length}`, this.clock);
     this.poolers.push(pooler);
     this.listed.add(pooler.name);
-    pooler.room.onDidAttach();
-    this.tellServices();
+    pooler.quota.onDidAttach();
+    this.publishServices();
     return pooler;
   }
 
@@ -94,79 +94,79 @@
     this.leader.detach(pooler.name);
   }
 
-  /** Another instance of control leads from now on. */
+  /** Elects another leader, to which all poolers attach. */
   elect(): void {
     this.leader = new ConnectionAllocator(this.clock.now());
-    this.tellServices();
+    this.publishServices();
     for (const pooler of this.poolers) {
       pooler.epoch++;
-      pooler.room.onDidAttach();
+      pooler.quota.onDidAttach();
     }
   }
 
-  tellServices(): void {
+  publishServices(): void {
     const service: AllocatedService = {
-      shared: this.shared,
+      shared: this.maxOpen,
       members: [MEMBER],
       poolers: new Set(this.listed),
     };
-    this.leader.setServices(new Map([[SERVICE, service]]));
+    this.leader.setServices(new Map([[BOOKS, service]]));
   }
 
-  /** Lets time pass, 10 ms at a time. */
+  /** Advances the clock in steps of 10 ms. */
   run(ms: number, check: () => void = () => {}): void {
-    for (let passed = 0; passed < ms; passed += 10) {
+    for (let elapsed = 0; elapsed < ms; elapsed += 10) {
       this.clock.advance(10);
       for (const pooler of this.poolers) this.step(pooler);
-      this.answer();
+      this.sendGrants();
       check();
     }
   }
 
-  get openInAll(): number {
+  get totalOpen(): number {
     return this.poolers.reduce((sum, {open}) => sum + open, 0);
   }
 
   private step(pooler: TestPooler): void {
     const now = this.clock.now();
-    const due = pooler.sent.filter(({at}) => at <= now);
-    pooler.sent.splice(0, due.length);
-    for (const {epoch, act} of due) {
-      if (epoch === pooler.epoch && !pooler.isCutOff) act();
+    const due = pooler.inFlight.filter(({at}) => at <= now);
+    pooler.inFlight.splice(0, due.length);
+    for (const {epoch, deliver} of due) {
+      if (epoch === pooler.epoch && !pooler.isCutOff) deliver();
     }
     if (!pooler.isAlive) return;
     pooler.work();
-    if (pooler.room.isReportUrgent || now >= pooler.nextQuestionAt) {
-      this.ask(pooler);
+    if (pooler.quota.isReportUrgent || now >= pooler.dueAt) {
+      this.renew(pooler);
     }
   }
 
-  private ask(pooler: TestPooler): void {
+  private renew(pooler: TestPooler): void {
     const {leader} = this;
-    const askedAt = this.clock.now();
-    pooler.nextQuestionAt = askedAt + QUESTION_MS;
-    const report = pooler.room.takeReport();
+    const requestedAt = this.clock.now();
+    pooler.dueAt = requestedAt + REQUEST_INTERVAL_MS;
+    const report = pooler.quota.takeReport();
     this.send(pooler, () => {
       leader.report(pooler.name, report, this.clock.now());
-      this.send(pooler, () => pooler.room.extendLease(askedAt));
+      this.send(pooler, () => pooler.quota.extendLease(requestedAt));
     });
   }
 
-  /** Control hands out lists at once, as it does after each report. */
-  private answer(): void {
+  /** Sends the lists of grants, as control does after each report. */
+  private sendGrants(): void {
     const present = this.poolers.filter(({isAlive}) => isAlive);
     const names = present.map(({name}) => name);
     for (const list of this.leader.allocate(names, this.clock.now())) {
       const pooler = this.poolers.find(({name}) => name === list.pooler)!;
-      this.send(pooler, () => pooler.room.setGrants(list.value));
+      this.send(pooler, () => pooler.quota.setGrants(list.value));
     }
   }
 
-  /** One stream keeps the order of what it carries. */
-  private send(pooler: TestPooler, act: () => void): void {
+  /** Messages of a stream arrive in the order of sending. */
+  private send(pooler: TestPooler, deliver: () => void): void {
     const {epoch} = pooler;
-    const last = pooler.sent.at(-1)?.at ?? 0;
-    const at = Math.max(last, this.clock.now() + this.wayMs());
-    pooler.sent.push({at, epoch, act});
+    const last = pooler.inFlight.at(-1)?.at ?? 0;
+    const at = Math.max(last, this.clock.now() + this.delayMs());
+    pooler.inFlight.push({at, epoch, deliver});
   }
 }
--- a/src/services/connection_quota/test/common/connection_quota.test.ts
+++ b/src/services/connection_quota/test/common/connection_quota.test.ts
@@ -1,94 +1,92 @@
 import {beforeEach, describe, expect, it} from 'vitest';
 import {ManualClock} from '../../../../base/common/clock';
-import {ConnectionQuota} from '../../../connection_quota/common/connection_quota';
+import {ConnectionQuota} from '../../common/connection_quota';
 
 let clock: ManualClock;
-let room: ConnectionQuota;
+let quota: ConnectionQuota;
 
 beforeEach(() => {
   clock = new ManualClock();
   clock.advance(100_000);
-  room = new ConnectionQuota(clock);
-  room.onDidAttach();
-  room.extendLease(clock.now());
+  quota = new ConnectionQuota(clock);
+  quota.onDidAttach();
+  quota.extendLease(clock.now());
 });
 
 function grant(connections: number, number: number): void {
   const grants = [{service: 'books', instance: 'm1', connections}];
-  room.setGrants({grants, number});
+  quota.setGrants({grants, number});
 }
 
-const note = (open: number, wanted: number) => {
-  room.updateUse('books', 'm1', {open, wanted});
+const updateUse = (open: number, wanted: number) => {
+  quota.updateUse('books', 'm1', {open, wanted});
 };
-const limit = () => room.limitOf('books', 'm1', 7.8);
+const limit = () => quota.limitOf('books', 'm1', 7.8);
 
-describe('a proxy that control did not ask', () => {
-  it('says nothing and keeps to its own shares', () => {
-    // Deployments whose connections are not handed out pay no byte for it.
-    note(3, 200);
+describe('a proxy without a request for reports', () => {
+  it('reports nothing and applies its equal shares', () => {
+    // Deployments without grants must not pay for reports.
+    updateUse(3, 200);
     clock.advance(5_000);
-    expect(room.isReportUrgent).toBe(false);
-    expect(room.takeReport()).toEqual({connections: [], grantsNumber: 0});
+    expect(quota.isReportUrgent).toBe(false);
+    expect(quota.takeReport()).toEqual({connections: [], grantsNumber: 0});
     expect(limit()).toBeUndefined();
   });
 });
 
-describe('a proxy that control asked', () => {
-  it('tells what it has at once, and then only what changed', () => {
-    note(3, 4);
-    room.setGrants({grants: [], number: 1});
-    expect(room.isReportUrgent).toBe(true);
-    const [use] = room.takeReport().connections;
+describe('a proxy with a request for reports', () => {
+  it('reports all connections at once, and then only changes', () => {
+    updateUse(3, 4);
+    quota.setGrants({grants: [], number: 1});
+    expect(quota.isReportUrgent).toBe(true);
+    const [use] = quota.takeReport().connections;
     expect(use).toMatchObject({open: 3, wanted: 4, granted: 0});
-    expect(room.takeReport().connections).toEqual([]);
-    note(3, 9);
-    expect(room.takeReport().connections).toHaveLength(1);
+    expect(quota.takeReport().connections).toEqual([]);
+    updateUse(3, 9);
+    expect(quota.takeReport().connections).toHaveLength(1);
   });
 
-  it('cannot wait while it wants twice what it may have', () => {
-    note(3, 4);
+  it('reports urgently when it wants twice its grant', () => {
+    updateUse(3, 4);
     grant(5, 1);
-    room.takeReport();
-    note(5, 10);
-    expect(room.isReportUrgent).toBe(false);
+    quota.takeReport();
+    updateUse(5, 10);
+    expect(quota.isReportUrgent).toBe(false);
     clock.advance(100);
-    expect(room.isReportUrgent).toBe(true);
+    expect(quota.isReportUrgent).toBe(true);
   });
 
-  it('keeps to no list that is older than the one in force', () => {
-    // Control lowered a grant, and a list of before comes late. Kept to, it
-    // would have the member refuse connections that others opened meanwhile.
+  it('ignores a list that is older than the one in force', () => {
+    // Guards against connections that a late list grants again, though others
+    // have opened them since.
     grant(5, 2);
     grant(40, 1);
     expect(limit()).toBe(5);
   });
 
-  it('wants less only over seconds', () => {
-    note(0, 16);
+  it('lowers the wanted connections over seconds', () => {
+    updateUse(0, 16);
     clock.advance(500);
-    note(0, 0);
-    expect(room.views[0]!.wanted).toBeGreaterThan(10);
+    updateUse(0, 0);
+    expect(quota.views[0]!.wanted).toBeGreaterThan(10);
     clock.advance(6_000);
-    note(0, 0);
-    expect(room.views[0]!.wanted).toBeLessThanOrEqual(1);
+    updateUse(0, 0);
+    expect(quota.views[0]!.wanted).toBeLessThanOrEqual(1);
   });
 
-  it('takes the word of a member that is full', () => {
-    // A member refuses a connection below the grant: its own count is another.
-    // Each further try would cost a caller its time, for nothing.
+  it('lowers a grant when the member refuses a connection', () => {
+    // Guards against further attempts, which would only delay callers.
     grant(12, 1);
-    room.onDidRefuseConnection('books', 'm1', 8);
+    quota.onDidRefuseConnection('books', 'm1', 8);
     expect(limit()).toBe(8);
-    expect(room.takeReport().connections[0]!.granted).toBe(8);
+    expect(quota.takeReport().connections[0]!.granted).toBe(8);
   });
 });
 
-describe('a proxy that lost control', () => {
-  it('falls back to its equal share after the lease', () => {
-    // Control frees the part of whoever it does not hear for 3 s. A pooler
-    // that was cut off and kept its 20 connections would share them with the
-    // ones that they went to, and the member resets both.
+describe('a proxy without control', () => {
+  it('uses its equal share after the lease', () => {
+    // Guards against connections that are in use twice: control grants those of
+    // an unresponsive pooler to others.
     grant(20, 1);
     clock.advance(2_900);
     expect(limit()).toBe(20);
@@ -96,39 +94,39 @@
     expect(limit()).toBe(7);
   });
 
-  it('counts the lease from its question, not from the answer', () => {
-    // An answer is long under way. Control counts the lease from when it heard
-    // the question, then gives the connections to others: both would open them.
+  it('starts the lease at its request, not at the answer', () => {
+    // Guards against connections that are in use twice where the answer is
+    // late: the lease at control starts with the request.
     grant(20, 1);
-    const askedAt = clock.now();
+    const requestedAt = clock.now();
     clock.advance(2_000);
-    room.extendLease(askedAt);
+    quota.extendLease(requestedAt);
     clock.advance(1_000);
     expect(limit()).toBe(7);
   });
 
-  it('tells the next leader what it goes by', () => {
-    // The leader of control changes. If the next one knew only what is open, it
-    // would lower all grants to that, and callers wait after each election.
+  it('reports its grants to the next leader', () => {
+    // Guards against grants that are lowered to the open connections at each
+    // change of leader.
     grant(20, 3);
-    note(12, 12);
+    updateUse(12, 12);
     clock.advance(800);
-    room.onDidAttach();
+    quota.onDidAttach();
     expect(limit()).toBe(20);
-    room.setGrants({grants: [], number: 1});
-    const {connections, grantsNumber} = room.takeReport();
+    quota.setGrants({grants: [], number: 1});
+    const {connections, grantsNumber} = quota.takeReport();
     expect(connections[0]).toMatchObject({open: 12, granted: 20});
     expect(grantsNumber).toBe(1);
   });
 
-  it('forgets grants where the next leader hands out none', () => {
-    // An operator takes all limits away while the leader changes. Kept to, the
-    // last grants would bound the proxy for good, and callers wait.
+  it('drops grants where the next leader sends none', () => {
+    // Guards against old grants that stay in force after all limits were
+    // removed during a change of leader.
     grant(20, 1);
-    room.onDidAttach();
-    for (let asked = 0; asked < 8; asked++) {
+    quota.onDidAttach();
+    for (let count = 0; count < 8; count++) {
       clock.advance(400);
-      room.extendLease(clock.now());
+      quota.extendLease(clock.now());
     }
     expect(limit()).toBeUndefined();
   });
--- a/src/services/connection_quota/test/node/grant_exchange.test.ts
+++ b/src/services/connection_quota/test/node/grant_exchange.test.ts
@@ -16,8 +16,8 @@
 import {PublishedPrimaries} from '../../../lease/common/published_primaries';
 import {PrimaryLeases} from '../../../lease/common/primary_leases';
 import {LeaseHolders} from '../../../lease/common/lease_holders';
-import {ConnectionQuota} from '../../../connection_quota/common/connection_quota';
-import {ConnectionAllocation} from '../../../connection_quota/common/connection_allocation';
+import {ConnectionQuota} from '../../common/connection_quota';
+import {ConnectionAllocation} from '../../common/connection_allocation';
 
 const MEMBER: Member = {
   ...{instance: 'm1', service: 'books', address: 'm1:1', site: 'a', slots: 2},
@@ -37,10 +37,10 @@
   const poolers = ['p1', 'p2'].map(instance => {
     return {service: 'books', instance, site: 'a', address: `${instance}:1`};
   });
-  const board = new PublishedPrimaries();
+  const publishedPrimaries = new PublishedPrimaries();
   const allocator = new LimitAllocator(0);
   const holders = new LeaseHolders(-Infinity);
-  const control: ConnectionAllocation = new ConnectionAllocation({
+  const allocation: ConnectionAllocation = new ConnectionAllocation({
     catalog: () => catalog,
     members: () => [MEMBER],
     membersRevision: () => 1,
@@ -58,18 +58,18 @@
       poolers: () => poolers,
       poolersRevision: () => 1,
       expectedProxyCount: () => 0,
-      publishedPrimaries: () => board,
+      publishedPrimaries: () => publishedPrimaries,
       holders: () => holders,
       counters: () => [],
       shares: () => allocator,
-      connectionAllocator: () => control.currentAllocator,
+      connectionAllocator: () => allocation.currentAllocator,
       confirm: () => Promise.resolve(true),
     },
     clock,
     logged.log,
   );
-  control.onDidBecomeLeader(clock.now());
-  every(stop.signal, 50, () => control.checkCapacities());
+  allocation.onDidBecomeLeader(clock.now());
+  every(stop.signal, 50, () => allocation.checkCapacities());
   const server = new MessageServer(makeLog().log);
   leader.serve(server);
   const port = await server.listen('127.0.0.1:0', stop.signal);
@@ -83,7 +83,7 @@
 function follow(instance: string, cores: number) {
   const ended = new AbortController();
   stop.signal.addEventListener('abort', () => ended.abort());
-  const room = new ConnectionQuota(clock);
+  const quota = new ConnectionQuota(clock);
   const follower = new FleetFollower(
     {
       instance,
@@ -94,7 +94,7 @@
       catalogLease: new CatalogLease(5_000, clock),
       counter: new AccountCounter(clock),
       capacity: {cores, linkMbps: 0},
-      connectionQuota: room,
+      connectionQuota: quota,
     },
     {
       onDidReceiveCatalog: () => {},
@@ -108,44 +108,44 @@
     ended.signal,
   );
   follower.start();
-  const limit = () => room.limitOf('books', 'm1', 7) ?? 0;
+  const limit = () => quota.limitOf('books', 'm1', 7) ?? 0;
   const use = (wanted: number) => {
-    room.updateUse('books', 'm1', {open: limit(), wanted});
+    quota.updateUse('books', 'm1', {open: limit(), wanted});
   };
-  return {follower, room, use, limit, end: () => ended.abort()};
+  return {follower, quota, use, limit, end: () => ended.abort()};
 }
 
-async function until(holds: () => boolean, mostMs = 4_000): Promise<void> {
-  const since = clock.now();
-  while (!holds() && clock.now() - since < mostMs) {
+async function until(holds: () => boolean, timeoutMs = 4_000): Promise<void> {
+  const startedAt = clock.now();
+  while (!holds() && clock.now() - startedAt < timeoutMs) {
     await new Promise(resolve => setTimeout(resolve, 10));
   }
   expect(holds()).toBe(true);
 }
 
-it('gives a lost pooler’s part to the other one within 300 ms', async () => {
-  // A pooler is killed while callers ask for more than two of them may open.
+it('moves the grant of a lost pooler within 300 ms', async () => {
+  // Both poolers want more connections than the member accepts.
   const [lost, other] = [follow('p1', 1), follow('p2', 2)];
   for (const {use} of [lost, other]) use(14);
   await until(
-    () => lost.room.isReportRequested && other.room.isReportRequested,
+    () => lost.quota.isReportRequested && other.quota.isReportRequested,
   );
   for (const {use} of [lost, other]) use(14);
   await until(() => lost.limit() > 0 && other.limit() > 0);
   expect(lost.limit() + other.limit()).toBeLessThanOrEqual(12);
   lost.end();
   await until(() => other.limit() === 12, 300);
-  expect(lines.join()).toContain('"reason":"others left"');
+  expect(lines.join()).toContain('"reason":"pooler left"');
 });
 
-it('says and asks nothing where instances are of one size', async () => {
+it('sends no reports where instances have equal capacity', async () => {
   const both = [follow('p1', 1), follow('p2', 1)];
   for (const {use} of both) use(14);
   await until(() => both.every(({follower}) => follower.isAttached));
   await new Promise(resolve => setTimeout(resolve, 600));
-  for (const {room, limit} of both) {
-    expect(room.isReportRequested).toBe(false);
-    expect(room.takeReport().connections).toEqual([]);
+  for (const {quota, limit} of both) {
+    expect(quota.isReportRequested).toBe(false);
+    expect(quota.takeReport().connections).toEqual([]);
     expect(limit()).toBe(0);
   }
 });
