--- a/src/services/pool/node/target_connection.ts
+++ b/src/services/pool/node/target_connection.ts
@@ -15,14 +15,14 @@
   type Frame,
 } from '../../wire/common/frames';
 
-const MOST_FRAME_BYTES = 1024 * 1024 * 1024;
-const OPENING_MS = 3_000;
-const ERROR = typeByteOf('E');
-const KEY_DATA = typeByteOf('K');
-const PARAMETER = typeByteOf('S');
-const READY = typeByteOf('Z');
-
-/** Where and as whom a connection is opened. */
+const MAX_FRAME_BYTES = 1024 * 1024 * 1024;
+const OPEN_TIMEOUT_MS = 3_000;
+const ERROR_RESPONSE = typeByteOf('E');
+const BACKEND_KEY_DATA = typeByteOf('K');
+const PARAMETER_STATUS = typeByteOf('S');
+const READY_FOR_QUERY = typeByteOf('Z');
+
+/** The address and the startup parameters of a connection. */
 export interface TargetLogin {
   readonly address: string;
   readonly user: string;
@@ -31,7 +31,7 @@
   readonly options?: string;
 }
 
-/** Who hears what a target answers; one at a time. */
+/** Receives the messages of a target. */
 export interface AnswerListener {
   onDidReceive(frames: readonly Frame[]): void;
   onDidClose(): void;
@@ -42,18 +42,18 @@
   | {readonly kind: 'unreachable'; readonly detail: string}
   | {readonly kind: 'refused'; readonly diagnostic: Diagnostic};
 
-/** One connection to a target, used by one transaction at a time. */
+/** A connection to a target, used by one transaction at a time. */
 export class TargetConnection {
-  /** Statements that are prepared here, by their text and types. */
+  /** Names of prepared statements, by their text and parameter types. */
   readonly preparedStatements = new Map<string, string>();
-  /** Session state was left behind that the next user must not see. */
+  /** Whether session state was left behind that the next user must not see. */
   isDirty = false;
   incarnation = '';
   private listener: AnswerListener | undefined;
   private processId = 0;
-  private secret = 0;
+  private secretKey = 0;
   private closed = false;
-  private readonly splitter = new FrameDecoder(MOST_FRAME_BYTES);
+  private readonly decoder = new FrameDecoder(MAX_FRAME_BYTES);
 
   private constructor(
     private readonly socket: Socket,
@@ -66,7 +66,7 @@
     socket.on('close', () => this.onSocketClose());
   }
 
-  /** Opens a connection and waits until the target is ready. */
+  /** Opens a connection and waits until the target is ready for queries. */
   static open(
     login: TargetLogin,
     signal: AbortSignal,
@@ -75,19 +75,22 @@
     const address = parseAddress(login.address);
     if (!address) {
       return Promise.resolve(
-        err({kind: 'unreachable', detail: `address ${login.address}`}),
+        err({
+          kind: 'unreachable',
+          detail: `invalid address ${login.address}`,
+        }),
       );
     }
     const socket = connect(address.port, address.host);
     const connection = new TargetConnection(socket, login, onDidClose);
-    return connection.greet(signal);
+    return connection.startUp(signal);
   }
 
   get isClosed(): boolean {
     return this.closed;
   }
 
-  /** Names whoever hears the answers from now on. */
+  /** Sets the listener of all messages from now on. */
   setListener(listener: AnswerListener | undefined): void {
     this.listener = listener;
   }
@@ -108,31 +111,31 @@
     this.socket.destroy();
   }
 
-  /** Asks the target to give up what this connection runs. */
+  /** Sends a cancel request for the running statement. */
   cancel(): void {
     const address = parseAddress(this.login.address);
     if (!address) return;
     const socket = connect(address.port, address.host);
     socket.on('error', () => socket.destroy());
-    socket.end(serialize.cancel(this.processId, this.secret));
+    socket.end(serialize.cancel(this.processId, this.secretKey));
   }
 
-  private greet(
+  private startUp(
     signal: AbortSignal,
   ): Promise<Result<TargetConnection, OpenFailure>> {
     return new Promise(resolve => {
       const finish = (outcome: Result<TargetConnection, OpenFailure>) => {
-        cancelTimer();
+        cancelTimeout();
         this.listener = undefined;
         if (outcome.isErr) this.destroy();
         resolve(outcome);
       };
-      const cancelTimer = after(signal, OPENING_MS, () => {
+      const cancelTimeout = after(signal, OPEN_TIMEOUT_MS, () => {
         finish(err({kind: 'unreachable', detail: 'no answer in time'}));
       });
       this.listener = {
         onDidReceive: frames => {
-          const outcome = this.onGreeting(frames);
+          const outcome = this.onStartupFrames(frames);
           if (outcome) finish(outcome);
         },
         onDidClose: () => {
@@ -146,21 +149,22 @@
     });
   }
 
-  private onGreeting(
+  /** Returns the outcome of the startup; undefined while it goes on. */
+  private onStartupFrames(
     frames: readonly Frame[],
   ): Result<TargetConnection, OpenFailure> | undefined {
     for (const frame of frames) {
       const body = bodyOf(frame);
-      if (frame.type === READY) return ok(this);
-      if (frame.type === ERROR) {
+      if (frame.type === READY_FOR_QUERY) return ok(this);
+      if (frame.type === ERROR_RESPONSE) {
         const diagnostic = decodeDiagnostic(body);
         return err({kind: 'refused', diagnostic});
       }
-      if (frame.type === KEY_DATA) {
+      if (frame.type === BACKEND_KEY_DATA) {
         this.processId = body.readInt32BE(0);
-        this.secret = body.readInt32BE(4);
+        this.secretKey = body.readInt32BE(4);
       }
-      if (frame.type === PARAMETER) {
+      if (frame.type === PARAMETER_STATUS) {
         const [name, value] = decodeParameterStatus(body);
         if (name === 'group_incarnation') this.incarnation = value;
       }
@@ -169,14 +173,14 @@
   }
 
   private onData(chunk: Buffer): void {
-    const frames = this.splitter.push(chunk);
+    const frames = this.decoder.push(chunk);
     if ('type' in frames) {
       this.socket.destroy();
       return;
     }
     if (frames.length === 0) return;
     if (this.listener) this.listener.onDidReceive(frames);
-    // An answer that nobody asked for would reach the next user.
+    // An unexpected message would reach the next user.
     else this.socket.destroy();
   }
 
--- a/src/services/pool/node/target_pool.ts
+++ b/src/services/pool/node/target_pool.ts
@@ -5,37 +5,38 @@
   type TargetLogin,
 } from './target_connection';
 
-const LEAST_BACKOFF_MS = 50;
-const MOST_BACKOFF_MS = 2_000;
+const MIN_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 2_000;
 
-/** What a pool's owner hears. */
+/** Receives the events of a pool. */
 export interface PoolListener {
-  /** A connection became free. */
+  /** A connection became idle. */
   onDidRelease(): void;
   onDidFailToOpen(failure: OpenFailure): void;
 }
 
 /**
- * The connections to one run of one target. They are opened ahead of need,
- * off the way of requests, and never more than the cap.
+ * The connections to one incarnation of one target. Opens them in the
+ * background ahead of demand, up to a maximum.
  */
 export class TargetPool {
   private idle: TargetConnection[] = [];
-  private readonly running = new Set<TargetConnection>();
-  private opening = 0;
+  private readonly inUse = new Set<TargetConnection>();
+  private openingCount = 0;
   private backoffMs = 0;
   private retryAt = 0;
+  /** Number of connections to keep open. */
   private demand = 1;
 
   constructor(
     readonly login: TargetLogin,
     readonly incarnation: string,
-    private capacity: number,
+    private maxConnections: number,
     private readonly clock: Clock,
     private readonly listener: PoolListener,
     private readonly signal: AbortSignal,
   ) {
-    signal.addEventListener('abort', () => this.closeIdle(), {once: true});
+    signal.addEventListener('abort', () => this.destroyIdle(), {once: true});
     this.maintain();
   }
 
@@ -44,49 +45,50 @@
   }
 
   get inUseCount(): number {
-    return this.running.size;
+    return this.inUse.size;
   }
 
+  /** Number of connections that are idle, in use or being opened. */
   get connectionCount(): number {
-    return this.idle.length + this.running.size + this.opening;
+    return this.idle.length + this.inUse.size + this.openingCount;
   }
 
-  /** The last attempts to open failed. */
+  /** Whether the last connection attempts failed. */
   get isFailing(): boolean {
     return this.backoffMs > 0;
   }
 
-  /** Changes the cap; too many connections are closed as they come free. */
-  setMaxConnections(capacity: number): void {
-    this.capacity = capacity;
+  /** Closes excess connections at once where idle, others on release. */
+  setMaxConnections(maxConnections: number): void {
+    this.maxConnections = maxConnections;
     this.trim();
     this.maintain();
   }
 
-  /** Takes a free connection. */
+  /** Takes an idle connection; undefined where there is none. */
   checkout(): TargetConnection | undefined {
     const connection = this.idle.pop();
     if (!connection) {
-      this.demand = this.capacity;
+      this.demand = this.maxConnections;
       return undefined;
     }
-    this.running.add(connection);
-    this.demand = Math.max(this.demand, this.running.size + 1);
+    this.inUse.add(connection);
+    this.demand = Math.max(this.demand, this.inUse.size + 1);
     this.maintain();
     return connection;
   }
 
   /**
-   * Gives a connection back; one that is not clean is closed, and so is one
-   * of an earlier run of the target, which has another pool.
+   * Puts a connection back. Closes it where it is not clean, or where it is of
+   * an earlier incarnation, which has a pool of its own.
    */
-  release(connection: TargetConnection, clean: boolean): void {
-    if (!this.running.delete(connection)) {
+  release(connection: TargetConnection, isClean: boolean): void {
+    if (!this.inUse.delete(connection)) {
       connection.destroy();
       return;
     }
-    const keep = clean && !connection.isClosed && !this.signal.aborted;
-    if (!keep || this.connectionCount >= this.capacity) {
+    const canKeep = isClean && !connection.isClosed && !this.signal.aborted;
+    if (!canKeep || this.connectionCount >= this.maxConnections) {
       connection.destroy();
       this.maintain();
       return;
@@ -95,61 +97,63 @@
     this.listener.onDidRelease();
   }
 
-  /** Breaks off everything that runs: its users hear of it at once. */
+  /** Closes all connections in use; their users are notified. */
   destroyInUse(): void {
-    for (const connection of this.running) connection.destroy();
+    for (const connection of this.inUse) connection.destroy();
   }
 
-  /** Opens what is wanted; called on a timer and after changes. */
+  /** Opens missing connections; called on a timer and after changes. */
   maintain(): void {
     if (this.signal.aborted || this.clock.now() < this.retryAt) return;
-    const wanted = Math.min(this.demand, this.capacity);
+    const wanted = Math.min(this.demand, this.maxConnections);
     while (this.connectionCount < wanted) this.openOne();
   }
 
   private openOne(): void {
-    this.opening++;
-    const closed = (connection: TargetConnection) => this.onClosed(connection);
-    void TargetConnection.open(this.login, this.signal, closed).then(opened => {
-      this.opening--;
-      if (opened.isErr) return this.onFailure(opened.error);
-      this.backoffMs = 0;
-      const connection = opened.value;
-      // Another run of the target may hold less than is known of this one.
-      const same = connection.incarnation === this.incarnation;
-      if (
-        !same ||
-        this.signal.aborted ||
-        this.connectionCount >= this.capacity
-      ) {
-        connection.destroy();
-        return;
-      }
-      this.idle.push(connection);
-      this.listener.onDidRelease();
-    });
+    this.openingCount++;
+    const onDidClose = (closed: TargetConnection) => this.onDidClose(closed);
+    void TargetConnection.open(this.login, this.signal, onDidClose).then(
+      opened => {
+        this.openingCount--;
+        if (opened.isErr) return this.onDidFailToOpen(opened.error);
+        this.backoffMs = 0;
+        const connection = opened.value;
+        // Another incarnation may have lost data that this one had.
+        const isSame = connection.incarnation === this.incarnation;
+        if (
+          !isSame ||
+          this.signal.aborted ||
+          this.connectionCount >= this.maxConnections
+        ) {
+          connection.destroy();
+          return;
+        }
+        this.idle.push(connection);
+        this.listener.onDidRelease();
+      },
+    );
   }
 
-  private onFailure(failure: OpenFailure): void {
-    const doubled = Math.max(LEAST_BACKOFF_MS, this.backoffMs * 2);
-    this.backoffMs = Math.min(doubled, MOST_BACKOFF_MS);
+  private onDidFailToOpen(failure: OpenFailure): void {
+    const doubledMs = Math.max(MIN_BACKOFF_MS, this.backoffMs * 2);
+    this.backoffMs = Math.min(doubledMs, MAX_BACKOFF_MS);
     this.retryAt = this.clock.now() + this.backoffMs;
     this.listener.onDidFailToOpen(failure);
   }
 
-  private onClosed(connection: TargetConnection): void {
-    const at = this.idle.indexOf(connection);
-    if (at >= 0) this.idle.splice(at, 1);
-    // A connection that is in use is given back by its user.
+  private onDidClose(connection: TargetConnection): void {
+    const index = this.idle.indexOf(connection);
+    if (index >= 0) this.idle.splice(index, 1);
+    // A connection in use is released by its user.
   }
 
   private trim(): void {
-    while (this.connectionCount > this.capacity && this.idle.length > 0) {
+    while (this.connectionCount > this.maxConnections && this.idle.length > 0) {
       this.idle.pop()!.destroy();
     }
   }
 
-  private closeIdle(): void {
+  private destroyIdle(): void {
     for (const connection of this.idle) connection.destroy();
     this.idle = [];
   }
