--- a/src/services/account/common/counter_plan.ts
+++ b/src/services/account/common/counter_plan.ts
@@ -122,7 +122,7 @@
         if (!next) break;
         const {instance, address, site} = next;
         this.counters.push({instance, address, site, retiring: false});
-        this.addChange(next, 'named', `${region} has ${length} others`);
+        this.addChange(next, 'named', `${region} has ${length} counters`);
       }
     }
   }
@@ -143,7 +143,7 @@
     if (isLost) return 'its connection to control is lost';
     const region = this.needs.regionOf(site);
     const isSurplus = this.activeIn(region).length >= COUNTERS_PER_REGION;
-    return isSurplus ? `${region} has enough` : undefined;
+    return isSurplus ? `${region} has enough counters` : undefined;
   }
 
   private activeIn(region: string): CounterEntry[] {
--- a/src/services/account/common/limit_allocator.ts
+++ b/src/services/account/common/limit_allocator.ts
@@ -214,7 +214,7 @@
     }
   }
 
-  /** Follows a change of the counters or of their shares. */
+  /** Updates what depends on the counters and their shares. */
   private refresh(now: number): void {
     const counters = [...this.counters];
     this.active = counters
--- a/src/services/account/test/common/limit_chaos.ts
+++ b/src/services/account/test/common/limit_chaos.ts
@@ -13,7 +13,7 @@
 const USUAL_FRACTION = 1 / 1.6;
 const FLOOD_FRACTION = 7.5 * USUAL_FRACTION;
 
-/** A limit and when it came into force. */
+/** A limit and when it took effect. */
 interface PastLimit {
   readonly from: number;
   readonly limit: AccountLimit;
--- a/src/services/account/test/common/limit_simulation.test.ts
+++ b/src/services/account/test/common/limit_simulation.test.ts
@@ -40,19 +40,19 @@
   run: (simulation: LimitSimulation) => void,
   limits = LIMITS,
 ): Map<string, number> {
-  const asked = limits.map(() => 0);
+  const requested = limits.map(() => 0);
   const refused = limits.map(() => 0);
   for (let seed = 1; seed <= seeds; seed++) {
     const simulation = startSimulation(seed, limits);
     run(simulation);
     for (const [at, callers] of simulation.callers.entries()) {
-      asked[at]! += callers.requestCount;
+      requested[at]! += callers.requestCount;
       refused[at]! += callers.refusedCount + callers.undecidedCount;
     }
   }
   const fractions = limits.map(({perSecond, burst}, at) => {
     const name = `${perSecond}/s burst ${burst}`;
-    return [name, refused[at]! / asked[at]!] as const;
+    return [name, refused[at]! / requested[at]!] as const;
   });
   return new Map(fractions.filter(([, one]) => one >= MAX_REFUSED_FRACTION));
 }
@@ -261,8 +261,8 @@
       simulation.publishLimits();
       const loweredAt = simulation.timeline.now();
       simulation.run(15_000);
-      const most = callers.maxInWindow(WINDOW_MS, loweredAt + WINDOW_MS);
-      expect(most, `seed ${seed}`).toBeLessThan(allowedInWindow(lowered));
+      const maxCount = callers.maxInWindow(WINDOW_MS, loweredAt + WINDOW_MS);
+      expect(maxCount, `seed ${seed}`).toBeLessThan(allowedInWindow(lowered));
     }
   });
 
@@ -306,7 +306,7 @@
     // Guards against empty buckets after a restart: callers retry all at once,
     // and most of them would be refused though nothing ran since the stop.
     const large = LIMITS.filter(({perSecond}) => perSecond > 100);
-    let asked = 0;
+    let requested = 0;
     let refused = 0;
     for (let seed = 1; seed <= 10; seed++) {
       const simulation = startSimulation(seed, large);
@@ -321,15 +321,15 @@
       const before = simulation.callers.map(
         one => one.refusedCount + one.undecidedCount,
       );
-      const askedBefore = simulation.callers.map(one => one.requestCount);
+      const requestedBefore = simulation.callers.map(one => one.requestCount);
       simulation.setLoad(3 * USUAL_FRACTION);
       simulation.run(500);
       for (const [at, one] of simulation.callers.entries()) {
-        asked += one.requestCount - askedBefore[at]!;
+        requested += one.requestCount - requestedBefore[at]!;
         refused += one.refusedCount + one.undecidedCount - before[at]!;
       }
     }
-    expect(refused / asked).toBeLessThan(0.25);
+    expect(refused / requested).toBeLessThan(0.25);
   });
 
   it('do not exceed them where all restart during a flood', () => {
--- a/src/services/account/test/common/limit_simulation.ts
+++ b/src/services/account/test/common/limit_simulation.ts
@@ -35,7 +35,7 @@
   refusedCount = 0;
   /** Operations that no counter decided on. */
   undecidedCount = 0;
-  /** Whether refused callers retry when they were told to. */
+  /** Whether refused callers retry after the returned time. */
   isRetrying = false;
   /** Chooses the proxy of the next operation. */
   choose: (simulation: LimitSimulation) => CallerProxy = simulation =>
@@ -61,13 +61,13 @@
   /** Returns the most that ran in any window, from a time on. */
   maxInWindow(windowMs: number, from = 0): number {
     const times = this.ranAt.filter(at => at >= from);
-    let most = 0;
+    let maxCount = 0;
     let first = 0;
     for (const [last, at] of times.entries()) {
       while (at - times[first]! > windowMs) first++;
-      most = Math.max(most, last - first + 1);
+      maxCount = Math.max(maxCount, last - first + 1);
     }
-    return most;
+    return maxCount;
   }
 }
 
