--- a/src/services/gateway/common/caller_access.ts
+++ b/src/services/gateway/common/caller_access.ts
@@ -1,21 +1,21 @@
 import type {CallerName, MemberUser} from '../../../base/common/ids';
 
-/** Why a caller is not, or no longer, served. */
+/** Why a caller is not served, at its startup or with a later statement. */
 export type AccessDenial =
-  /** The route in force asks for no key where it did, or the other way. */
+  /** The route requires a key now and did not before, or the reverse. */
   | 'route changed'
   | 'unknown database'
   /** No account holds the key. */
   | 'not authorized'
-  /** This instance cannot tell whether the key was withdrawn. */
+  /** The catalog lease expired, so the key may have been withdrawn. */
   | 'unconfirmed';
 
-/** Who a caller was found to be at its start. */
+/** The identity and rights of an authenticated caller. */
 export interface CallerAccess {
   readonly database: string;
   readonly caller: CallerName;
-  /** Whose connections to members its work uses. */
+  /** The user whose member connections its statements use. */
   readonly user: MemberUser;
-  /** Why its next statement may not run; undefined where it may. */
+  /** Why its next statement may not run; undefined if it may. */
   denial(): AccessDenial | undefined;
 }
--- a/src/services/gateway/common/caller_channel.ts
+++ b/src/services/gateway/common/caller_channel.ts
@@ -3,13 +3,13 @@
 /** One request of a caller. */
 export interface CallerRequest {
   readonly requestId: string;
-  /** Undefined where the caller sent something that is no statement. */
+  /** Undefined if the caller's message is not a statement. */
   readonly statement: Statement | undefined;
 }
 
-/** The way back to a caller, whatever protocol it speaks. */
+/** Sends replies to a caller, independently of its protocol. */
 export interface CallerChannel {
   answer(reply: CallerReply): void;
-  /** Ends the session; a caller that has nothing under way is not harmed. */
+  /** Ends the session; no request of the caller is pending. */
   close(): void;
 }
--- a/src/services/gateway/common/gateway_session_state.ts
+++ b/src/services/gateway/common/gateway_session_state.ts
@@ -7,58 +7,57 @@
   TargetStatement,
 } from '../../statement/common/statement';
 
-/** What a prepared statement of a session does. */
+/** A prepared statement of a session. */
 export interface PreparedStatement {
   readonly action: PreparedAction;
   readonly shape: string;
 }
 
-/** What a connection to a member has of earlier sessions. */
+/** The session state that earlier sessions left on a connection. */
 export interface ConnectionState {
   readonly values: Map<string, string>;
-  /** Names on the connection, by what they do. */
+  /** Names of prepared statements, by action and shape. */
   readonly prepared: Map<string, string>;
 }
 
-/** More values or prepared statements than this a session cannot have. */
-const MOST_ENTRIES = 1_000;
+/** Bound of a session's values, and of its prepared statements. */
+const MAX_ENTRIES = 1_000;
 
-/** What a session keeps between transactions, on whichever connection. */
+/** Session state that is independent of the connection in use. */
 export class GatewaySessionState {
   readonly values = new Map<string, string>();
   private readonly prepared = new Map<string, PreparedStatement>();
-  private newest: OwnCommit | undefined;
+  private latestCommit: OwnCommit | undefined;
 
-  /** The session's newest commit. */
   get lastCommit(): OwnCommit | undefined {
-    return this.newest;
+    return this.latestCommit;
   }
 
-  /** Takes note of an acknowledged commit and the time of its answer. */
-  recordCommit(position: Position | undefined, at: number): void {
+  /** Records an acknowledged commit and the time of its reply. */
+  recordCommit(position: Position | undefined, acknowledgedAt: number): void {
     if (!position) return;
-    const known = this.newest?.position ?? position;
-    this.newest = {
-      position: laterPosition(known, position),
-      acknowledgedAt: at,
+    const lastPosition = this.latestCommit?.position ?? position;
+    this.latestCommit = {
+      position: laterPosition(lastPosition, position),
+      acknowledgedAt,
     };
   }
 
-  /** False where the session has as many values as it may. */
+  /** False if the session has too many values. */
   setValue(name: string, value: string): boolean {
-    if (this.values.size >= MOST_ENTRIES) return false;
+    if (this.values.size >= MAX_ENTRIES) return false;
     this.values.set(name, value);
     return true;
   }
 
-  /** False where the session has as many statements as it may. */
+  /** False if the session has too many prepared statements. */
   prepare(name: string, statement: PreparedStatement): boolean {
-    if (this.prepared.size >= MOST_ENTRIES) return false;
+    if (this.prepared.size >= MAX_ENTRIES) return false;
     this.prepared.set(name, statement);
     return true;
   }
 
-  /** False where there is no statement of that name. */
+  /** False if there is no statement of that name. */
   deallocate(name: string): boolean {
     return this.prepared.delete(name);
   }
@@ -68,46 +67,46 @@
   }
 
   /**
-   * The statements that give a connection this session's values.
+   * The statements that set this session's values on a connection.
    *
-   * Values that the session does not have can only be cleared all together,
-   * and prepared statements go with them.
+   * Values of another session can only be cleared with a reset, which also
+   * drops all prepared statements.
    */
-  statementsToRestore(link: ConnectionState): TargetStatement[] {
+  statementsToRestore(connection: ConnectionState): TargetStatement[] {
     const statements: TargetStatement[] = [];
-    const isForeign = [...link.values.keys()].some(name => {
+    const hasForeignValue = [...connection.values.keys()].some(name => {
       return !this.values.has(name);
     });
-    if (isForeign) {
+    if (hasForeignValue) {
       statements.push({kind: 'reset'});
-      link.values.clear();
-      link.prepared.clear();
+      connection.values.clear();
+      connection.prepared.clear();
     }
     for (const [name, value] of this.values) {
-      if (link.values.get(name) === value) continue;
+      if (connection.values.get(name) === value) continue;
       statements.push({kind: 'set', name, value});
-      link.values.set(name, value);
+      connection.values.set(name, value);
     }
     return statements;
   }
 
   /**
-   * What a member runs for an execution: the statement under its name on the
-   * connection, and the preparing of it where it is missing there. Names are
-   * the connection's own, by shape: those of sessions collide.
+   * Translates an execution for a connection and prepares its statement there
+   * if needed. Prepared statements have names per connection, since the names
+   * of different sessions collide.
    */
   resolveExecute(
     statement: Statement & {kind: 'execute'},
-    link: ConnectionState,
+    connection: ConnectionState,
   ): {prelude: TargetStatement[]; statement: TargetStatement} | undefined {
-    const known = this.prepared.get(statement.name);
-    if (!known) return undefined;
-    const {action, shape} = known;
+    const prepared = this.prepared.get(statement.name);
+    if (!prepared) return undefined;
+    const {action, shape} = prepared;
     const key = `${action} ${shape}`;
-    const there = link.prepared.get(key);
-    if (there) return {prelude: [], statement: {...statement, name: there}};
-    const name = `p${link.prepared.size + 1}`;
-    link.prepared.set(key, name);
+    const found = connection.prepared.get(key);
+    if (found) return {prelude: [], statement: {...statement, name: found}};
+    const name = `p${connection.prepared.size + 1}`;
+    connection.prepared.set(key, name);
     return {
       prelude: [{kind: 'prepare', name, action, shape}],
       statement: {...statement, name},
--- a/src/services/gateway/node/catalog_authorizer.ts
+++ b/src/services/gateway/node/catalog_authorizer.ts
@@ -11,7 +11,7 @@
 import {SHARED_USER} from '../../target_link/common/target_link';
 import type {AccessDenial, CallerAccess} from '../common/caller_access';
 
-/** Tells by the catalog in force who a caller is and what it may do. */
+/** Authenticates and authorizes callers by the current catalog. */
 export class CatalogAuthorizer {
   constructor(
     private readonly catalog: () => CatalogIndex | undefined,
@@ -19,15 +19,15 @@
   ) {}
 
   /**
-   * Tells nothing of a database to a caller without a key of an account, not
-   * even whether there is one of that name.
+   * Authenticates a caller. A caller without a valid key does not learn whether
+   * a database of that name exists.
    */
   admit(
     database: string,
     credential: string,
   ): Result<CallerAccess, AccessDenial> {
     const route = this.route(database);
-    if (route && !route.keyed) return ok(this.admitAnybody(credential, route));
+    if (route && !route.keyed) return ok(this.admitKeyless(credential, route));
     const accounts = this.catalog()?.accounts;
     if (route && !this.lease.isHeld) return err('unconfirmed');
     const digest = digestOfKey(credential);
@@ -46,13 +46,13 @@
     });
   }
 
-  private admitAnybody(
+  private admitKeyless(
     credential: string,
     {database}: DatabaseRoute,
   ): CallerAccess {
     return {
       database,
-      caller: this.nameOf(credential),
+      caller: this.callerNameOf(credential),
       user: SHARED_USER,
       denial: () => {
         return this.route(database)?.keyed ? 'route changed' : undefined;
@@ -61,15 +61,15 @@
   }
 
   /**
-   * Guard: a caller may present its key where none is asked for. Its name goes
-   * into logs and to poolers, so where there are keys it is made of a digest.
+   * Guard: a caller may send its key as the name for a database without keys.
+   * The name appears in logs, so it is a digest as soon as there are accounts.
    */
-  private nameOf(credential: string): CallerName {
+  private callerNameOf(credential: string): CallerName {
     const isName = this.catalog()?.accounts.isEmpty ?? true;
     return callerName(isName ? credential : digestOfKey(credential));
   }
 
-  /** A dropped route is told of by whoever looks for it next. */
+  /** Ignores a dropped route, which the next look-up of the route reports. */
   private denialOf(
     {database}: DatabaseRoute,
     caller: CallerName,
--- a/src/services/gateway/node/checked_out_connection.ts
+++ b/src/services/gateway/node/checked_out_connection.ts
@@ -12,153 +12,155 @@
 import type {LeaseChecks} from '../../lease/common/primary_leases';
 import type {Clock} from '../../../base/common/clock';
 
-/** An answer of a member, or its loss. */
+/** The reply of a member, or the reason why there is none. */
 export type MemberReply = TargetReply;
 
-/** What a turn needs of its session. */
+/** What a checked-out connection uses of its session. */
 export interface CheckoutDependencies {
   readonly clock: Clock;
   readonly leases: LeaseChecks;
 }
 
-/** The place that a session was given. */
+/** The record of one checkout. */
 export interface CheckoutDetails {
-  readonly grant: Checkout;
+  readonly checkout: Checkout;
   readonly service: string;
-  /** How long the request waited for it, in milliseconds. */
+  /** Time in the queue, in milliseconds. */
   readonly waitedMs: number;
-  /** Work is done, and what it took at the member, in milliseconds. */
+  /** Called after a clean release with the member's time, in milliseconds. */
   onDidWork(workMs: number): void;
 }
 
-/** A session's hold on a connection, from its grant to its return. */
+/** A pooled connection that a session holds from checkout to release. */
 export class CheckedOutConnection {
-  private returned = false;
+  private isReleased = false;
   private workMs = 0;
 
   constructor(
-    private readonly place: CheckoutDetails,
+    private readonly details: CheckoutDetails,
     private readonly dispatcher: ServiceDispatcher,
-    private readonly around: CheckoutDependencies,
+    private readonly dependencies: CheckoutDependencies,
   ) {}
 
-  get grant(): Checkout {
-    return this.place.grant;
+  get checkout(): Checkout {
+    return this.details.checkout;
   }
 
   get waitedMs(): number {
-    return this.place.waitedMs;
+    return this.details.waitedMs;
   }
 
   get instance(): string {
-    return this.grant.pooled.instance;
+    return this.checkout.pooled.instance;
   }
 
   /**
-   * Sends calls in one go and waits for all answers, for a time at most. A
-   * connection whose answer did not come in time is closed: the answer could
-   * come later and be taken for the next one's.
+   * Pipelines calls and waits for all replies. Closes the connection on a
+   * timeout, since a late reply would be taken for that of the next call.
    *
-   * Guard: the limit holds for a caller that left too. A member that hangs
-   * would else keep the connection, one of a few, for nobody.
+   * Guard: the timeout applies even after the caller disconnected. Otherwise a
+   * member that hangs would hold the connection for good.
    */
-  *send(calls: readonly TargetCall[], timeMs: number): Task<MemberReply[]> {
-    const {link} = this.grant.pooled;
-    const {clock} = this.around;
-    const askedAt = clock.now();
-    // Also where the caller has left: the connection may never be free again.
-    const timer = setTimeout(() => link.close(), Math.max(1, timeMs));
+  *send(calls: readonly TargetCall[], timeoutMs: number): Task<MemberReply[]> {
+    const {link} = this.checkout.pooled;
+    const {clock} = this.dependencies;
+    const sentAt = clock.now();
+    // Not tied to the caller: the connection must be freed in any case.
+    const timer = setTimeout(() => link.close(), Math.max(1, timeoutMs));
     const promises = link.send(calls);
     const replies: MemberReply[] = [];
     for (const promise of promises) {
-      const done = yield* settled(promise);
+      const outcome = yield* settled(promise);
       replies.push(
-        'value' in done
-          ? done.value
-          : {kind: 'lost', reason: done.error.message},
+        'value' in outcome
+          ? outcome.value
+          : {kind: 'lost', reason: outcome.error.message},
       );
     }
     clearTimeout(timer);
-    this.workMs += clock.now() - askedAt;
+    this.workMs += clock.now() - sentAt;
     return replies;
   }
 
-  /** Runs the system's own statements; false where one did not succeed. */
+  /** Runs the proxy's own statements; false if one of them fails. */
   *runPrelude(
     statements: readonly TargetStatement[],
-    timeMs: number,
+    timeoutMs: number,
   ): Task<boolean> {
     if (statements.length === 0) return true;
     const calls = statements.map(statement => {
       return {requestId: undefined, statement};
     });
-    const replies = yield* this.send(calls, timeMs);
+    const replies = yield* this.send(calls, timeoutMs);
     return replies.every(isDone);
   }
 
   /**
-   * Whether the member cannot have been replaced before now, after waiting for
-   * a lease that ran out for a time at most. Asked once an answer has come:
-   * then it held while the answer was made, whatever froze in between.
+   * Whether the member is certain to be still the primary; waits for an expired
+   * lease to be renewed. Called after the reply arrived: a lease that is held
+   * then was also held while the reply was made, even if a process was paused.
    */
   *confirmPrimary(
-    timeMs: number,
-    answer: MemberReply | undefined,
+    timeoutMs: number,
+    reply: MemberReply | undefined,
   ): Task<boolean> {
-    const {leases} = this.around;
-    const {service} = this.place;
-    const {epoch} = this.grant;
+    const {leases} = this.dependencies;
+    const {service} = this.details;
+    const {epoch} = this.checkout;
     if (leases.isHeld(service, epoch)) return true;
-    const at = answer?.kind === 'answer' ? answer.position : undefined;
-    const done = yield* settled(
-      leases.waitUntilHeld(service, epoch, timeMs, at?.term),
+    const position = reply?.kind === 'answer' ? reply.position : undefined;
+    const outcome = yield* settled(
+      leases.waitUntilHeld(service, epoch, timeoutMs, position?.term),
     );
-    return 'value' in done && done.value;
+    return 'value' in outcome && outcome.value;
   }
 
-  /** Tells the dispatcher what an answer said of the member. */
+  /** Reports to the dispatcher what a reply shows about the member. */
   reportObservation(
-    askedAt: number,
+    sentAt: number,
     reply: MemberReply,
     kind?: MemberObservation['kind'],
   ): void {
-    const answeredAt = this.around.clock.now();
+    const answeredAt = this.dependencies.clock.now();
     const position = reply.kind === 'answer' ? reply.position : undefined;
     this.dispatcher.post({
       kind: 'observed',
       observation: {
         instance: this.instance,
-        epoch: this.grant.epoch,
-        askedAt,
+        epoch: this.checkout.epoch,
+        askedAt: sentAt,
         answeredAt,
         position,
-        kind: kind ?? observedIn(reply),
+        kind: kind ?? observationKindOf(reply),
       },
     });
   }
 
-  /** Gives the connection back; one that is not clean is closed. */
-  release(clean: boolean): void {
-    if (this.returned) return;
-    this.returned = true;
-    // What did not end cleanly says nothing of how long such work takes.
-    if (clean && this.workMs > 0) this.place.onDidWork(this.workMs);
-    const {pooled} = this.grant;
-    this.dispatcher.post({kind: 'return', returned: {pooled, isClean: clean}});
+  /** Returns the connection to the pool, which closes it if it is not clean. */
+  release(isClean: boolean): void {
+    if (this.isReleased) return;
+    this.isReleased = true;
+    // Work that failed would distort the estimate of the service time.
+    if (isClean && this.workMs > 0) this.details.onDidWork(this.workMs);
+    const {pooled} = this.checkout;
+    this.dispatcher.post({
+      kind: 'return',
+      returned: {pooled, isClean: isClean},
+    });
   }
 }
 
-/** Whether a member ran a statement with success. */
+/** Whether the statement succeeded. */
 export function isDone(reply: MemberReply | undefined): boolean {
   return reply?.kind === 'answer' && reply.result.kind === 'done';
 }
 
-/** Whether a connection is outside a transaction after an answer. */
+/** Whether the connection is outside a transaction after the reply. */
 export function isOutsideTransaction(reply: MemberReply | undefined): boolean {
   return reply?.kind === 'answer' && reply.state === 'idle';
 }
 
-function observedIn(reply: MemberReply): MemberObservation['kind'] {
+function observationKindOf(reply: MemberReply): MemberObservation['kind'] {
   if (reply.kind === 'lost') return 'silent';
   const {result} = reply;
   if (result.kind === 'done') return 'answered';
--- a/src/services/gateway/node/gateway.ts
+++ b/src/services/gateway/node/gateway.ts
@@ -50,57 +50,60 @@
   regionOf(site: string): string;
   readonly connector: TargetConnector;
   readonly leases: LeaseChecks;
-  /** For how long control's word on keys is good. */
+  /** The lease on the catalog, without which no key can be checked. */
   readonly catalogLease: CatalogLease;
-  /** How much accounts may ask of all instances together. */
+  /** Operation limits of the accounts, over all instances. */
   readonly limits: OperationLimits;
-  /** What control hands out of the members' connections. */
+  /** The connections to members that control granted to this instance. */
   readonly connectionQuota: ConnectionQuota;
   readonly statusReader: StatusReader;
   readonly clock: Clock;
   readonly log: Log;
   readonly meter: GatewayMeter;
-  /** The name of this instance among the poolers. */
+  /** The name of this instance, as in the list of poolers. */
   readonly instance: string;
-  /** Runs work of services whose connections other proxies keep. */
+  /** Runs statements of services whose connections poolers keep. */
   readonly pooledRunner: StatementRunner;
   onDidAssessPrimary(report: PrimaryReport): void;
 }
 
-/** Who the work of a session is for. */
+/** The caller of a session and the user its statements run as. */
 export interface SessionIdentity {
   readonly caller: CallerName;
   readonly user: MemberUser;
 }
 
-/** The part of a proxy that serves callers by the catalog in force. */
+/** The part of a proxy that serves callers by the current catalog. */
 export class Gateway {
   private index: CatalogIndex | undefined;
   private readonly members = new EntriesByService(MEMBER_COMPARER);
   private siteOf: ReadonlyMap<string, string> = new Map();
-  private proxies = 1;
+  private proxyCount = 1;
   private readonly poolers = new EntriesByService(POOLER_COMPARER);
-  private readonly leads = new Map<string, PrimaryAssignment>();
+  private readonly assignments = new Map<string, PrimaryAssignment>();
   private definitions = new Map<string, ServiceEntry>();
   private readonly dispatchers = new Map<string, ServiceDispatcher>();
   private readonly sessions = new Set<GatewaySession>();
-  private readonly journal: RequestTelemetry;
+  private readonly telemetry: RequestTelemetry;
   private readonly classes: ClassAdmission;
-  private readonly proofs: LeaseChecks;
-  private readonly access: CatalogAuthorizer;
-  private waitingToKnow: (() => void)[] = [];
-  private informedOnce = false;
-  private stopping = false;
-  private draining = false;
+  private readonly leases: LeaseChecks;
+  private readonly authorizer: CatalogAuthorizer;
+  private catalogListeners: (() => void)[] = [];
+  private hasHadUsableCatalog = false;
+  private isStopping = false;
+  private isDraining = false;
 
   constructor(
-    private readonly around: GatewayDependencies,
+    private readonly dependencies: GatewayDependencies,
     private readonly signal: AbortSignal,
   ) {
-    this.journal = new RequestTelemetry(around.log, around.meter);
-    this.classes = new ClassAdmission(around.clock);
-    this.access = new CatalogAuthorizer(() => this.index, around.catalogLease);
-    this.proofs = new MemberVerifiedLeases(around.leases, service => {
+    this.telemetry = new RequestTelemetry(dependencies.log, dependencies.meter);
+    this.classes = new ClassAdmission(dependencies.clock);
+    this.authorizer = new CatalogAuthorizer(
+      () => this.index,
+      dependencies.catalogLease,
+    );
+    this.leases = new MemberVerifiedLeases(dependencies.leases, service => {
       return this.dispatcherOf(service);
     });
   }
@@ -109,49 +112,49 @@
     return this.index?.version ?? 0;
   }
 
-  /** Whether it knows what to serve, and with whom. */
+  /** Whether it has a usable catalog and members, and accepts traffic. */
   get isReady(): boolean {
-    return !this.stopping && this.hasUsableCatalog && this.siteOf.size > 0;
+    return !this.isStopping && this.hasUsableCatalog && this.siteOf.size > 0;
   }
 
-  /** Whether it can tell callers what they may do. */
+  /** Whether the catalog is recent enough to authorize callers. */
   get hasUsableCatalog(): boolean {
     if (this.index === undefined) return false;
-    return this.index.accounts.isEmpty || this.around.catalogLease.isHeld;
+    return this.index.accounts.isEmpty || this.dependencies.catalogLease.isHeld;
   }
 
   get sessionCount(): number {
     return this.sessions.size;
   }
 
-  /** Calls back once it is informed; the result takes the call back. */
+  /** Calls back once there is a usable catalog; the result unsubscribes. */
   onceCatalogUsable(listener: () => void): () => void {
-    this.waitingToKnow.push(listener);
+    this.catalogListeners.push(listener);
     return () => {
-      this.waitingToKnow = this.waitingToKnow.filter(other => {
+      this.catalogListeners = this.catalogListeners.filter(other => {
         return other !== listener;
       });
     };
   }
 
-  /** Takes a catalog; never one that is older than that in force. */
+  /** Sets the catalog unless it is older than the current one. */
   setCatalog(catalog: Catalog): void {
     const {version} = catalog;
     if (version <= this.catalogVersion) return;
     this.index = new CatalogIndex(catalog);
     this.classes.setRoutes(catalog.routes);
-    this.greetWaiting();
+    this.notifyCatalogListeners();
     const {routes, services, accounts} = catalog;
-    this.around.log.info('A catalog is in force.', {
+    this.dependencies.log.info('A catalog is in force.', {
       version,
       routes: routes.length,
       accounts: accounts.length,
     });
-    for (const session of this.sessions) session.post({kind: 'check'});
+    for (const session of this.sessions) session.post({kind: 'check access'});
     this.definitions = new Map(services.map(one => [one.service, one]));
     for (const definition of services) {
       const {service} = definition;
-      const isServed = this.servesItself(service);
+      const isServed = this.servesDirectly(service);
       const dispatcher = isServed
         ? this.dispatcherOf(service)
         : this.dispatchers.get(service);
@@ -159,95 +162,97 @@
     }
   }
 
-  /** Takes note that control confirmed the catalog in force. */
+  /** Called when control has confirmed the current catalog. */
   notifyCatalogConfirmed(): void {
-    this.greetWaiting();
+    this.notifyCatalogListeners();
   }
 
-  /** Whether it could tell callers once; from then on it refuses at once. */
+  /** Whether it ever had a usable catalog; then it refuses without a wait. */
   get hadUsableCatalog(): boolean {
-    return this.informedOnce;
+    return this.hasHadUsableCatalog;
   }
 
-  private greetWaiting(): void {
+  private notifyCatalogListeners(): void {
     if (!this.hasUsableCatalog) return;
-    this.informedOnce = true;
-    for (const listener of this.waitingToKnow.splice(0)) listener();
+    this.hasHadUsableCatalog = true;
+    for (const listener of this.catalogListeners.splice(0)) listener();
   }
 
   setMembers({members, proxyCount}: FleetMembers): void {
     const changed = this.members.update(members);
     this.siteOf = new Map(members.map(({instance, site}) => [instance, site]));
-    const isCounted = proxyCount > 0 && proxyCount !== this.proxies;
-    if (isCounted) this.proxies = proxyCount;
-    // The number of proxies matters where no poolers keep the connections.
-    this.tellMembers(service => {
-      return changed.has(service) || (isCounted && !this.isPooled(service));
+    const isNewCount = proxyCount > 0 && proxyCount !== this.proxyCount;
+    if (isNewCount) this.proxyCount = proxyCount;
+    // Without poolers, a service's connections are divided among all proxies.
+    this.sendMembers(service => {
+      return changed.has(service) || (isNewCount && !this.isPooled(service));
     });
   }
 
-  /** Takes changes of who leads which service. */
-  setPrimaryAssignments(leads: readonly PrimaryAssignment[]): void {
-    for (const lead of leads) {
-      this.leads.set(lead.service, lead);
-      this.dispatchers.get(lead.service)?.post({kind: 'primary', lead});
+  /** Updates the primaries of some services. */
+  setPrimaryAssignments(assignments: readonly PrimaryAssignment[]): void {
+    for (const assignment of assignments) {
+      this.assignments.set(assignment.service, assignment);
+      this.dispatchers
+        .get(assignment.service)
+        ?.post({kind: 'primary', lead: assignment});
     }
   }
 
-  /** Takes the list of proxies that keep connections for others. */
+  /** Sets the list of proxies that keep connections for others. */
   setPoolers({poolers}: FleetPoolers): void {
     const changed = this.poolers.update(poolers);
     for (const service of changed) {
-      if (this.isPoolerOf(service)) this.dispatcherOf(service);
+      if (this.isPoolerFor(service)) this.dispatcherOf(service);
     }
-    this.tellMembers(service => changed.has(service));
+    this.sendMembers(service => changed.has(service));
   }
 
-  /** Time on the clock that ages of requests are counted by, in ms. */
+  /** The time on the clock that request ages refer to, in milliseconds. */
   now(): number {
-    return this.around.clock.now();
+    return this.dependencies.clock.now();
   }
 
-  /** How long new work of a service would wait here, where it is by class. */
+  /** Expected queue waits of a service; empty without admission by class. */
   queueWaitsOf(service: string): CheckoutWait[] {
     if (!this.classes.isEnabled(service)) return [];
     return this.dispatchers.get(service)?.expectedWaits ?? [];
   }
 
-  /** What the work of one session needs, for work of other proxies too. */
+  /** Creates a session's context, also for work sent by other proxies. */
   makeSessionContext(
     {caller, user}: SessionIdentity,
-    memory: GatewaySessionState,
+    sessionState: GatewaySessionState,
     route: () => DatabaseRoute | undefined,
     signal: AbortSignal,
-    greetingMs = () => 0,
-    gone = signal,
+    startupWaitMs = () => 0,
+    callerGone = signal,
   ): SessionContext {
     return {
-      startupWaitMs: greetingMs,
+      startupWaitMs,
       caller,
       user,
-      sessionState: memory,
-      clock: this.around.clock,
-      leases: this.proofs,
-      limits: this.around.limits,
-      telemetry: this.journal,
+      sessionState,
+      clock: this.dependencies.clock,
+      leases: this.leases,
+      limits: this.dependencies.limits,
+      telemetry: this.telemetry,
       classes: this.classes,
       signal,
-      callerGone: gone,
+      callerGone,
       route,
       dispatcherOf: service => this.dispatcherOf(service),
       runnerOf: service => new RateLimitedRunner(this.runnerOf(service, user)),
     };
   }
 
-  /** Finds out who a caller of a database is. */
+  /** Authenticates a caller of a database; logs a denial. */
   admit(
     database: string,
     credential: string,
   ): Result<CallerAccess, AccessDenial> {
-    return this.access.admit(database, credential).mapErr(denial => {
-      this.journal.recordRejectedSession(database, denial);
+    return this.authorizer.admit(database, credential).mapErr(denial => {
+      this.telemetry.recordRejectedSession(database, denial);
       return denial;
     });
   }
@@ -255,74 +260,74 @@
   /**
    * Begins a session; it ends with the signal.
    *
-   * @param greetingMs How long the caller waited for it, in milliseconds.
+   * @param startupWaitMs How long the caller's startup took, in milliseconds.
    */
   openSession(
     database: string,
-    admission: CallerAccess,
+    access: CallerAccess,
     channel: CallerChannel,
     signal: AbortSignal,
-    greetingMs = 0,
+    startupWaitMs = 0,
   ): GatewaySession {
     let isAnswered = false;
     const context = this.makeSessionContext(
-      admission,
+      access,
       new GatewaySessionState(),
       () => this.index?.route(database),
       signal,
-      () => (isAnswered ? 0 : greetingMs),
+      () => (isAnswered ? 0 : startupWaitMs),
     );
-    const answered = {
+    const sessionChannel = {
       answer: (reply: CallerReply) => {
         isAnswered = true;
         channel.answer(reply);
       },
       close: () => channel.close(),
     };
-    const session = new GatewaySession(context, admission, answered, () => {
+    const session = new GatewaySession(context, access, sessionChannel, () => {
       return this.index?.catalog.transactionIdleMs ?? 0;
     });
     this.sessions.add(session);
     void session.start().then(() => this.sessions.delete(session));
-    if (this.draining) session.post({kind: 'drain'});
+    if (this.isDraining) session.post({kind: 'drain'});
     return session;
   }
 
-  /** Takes no more traffic; sessions end where nothing is under way. */
+  /** Stops accepting traffic; each session ends once it is idle. */
   drain(): void {
-    this.stopping = true;
-    this.draining = true;
+    this.isStopping = true;
+    this.isDraining = true;
     for (const session of this.sessions) session.post({kind: 'drain'});
   }
 
-  /** Ends open transactions too. */
+  /** Aborts open transactions and ends all sessions. */
   abortTransactions(): void {
-    for (const session of this.sessions) session.post({kind: 'cut'});
+    for (const session of this.sessions) session.post({kind: 'abort'});
   }
 
-  /** Says that it takes no more traffic, while sessions go on. */
+  /** Fails the readiness check; sessions continue. */
   markNotReady(): void {
-    this.stopping = true;
+    this.isStopping = true;
   }
 
   private dispatcherOf(service: string): ServiceDispatcher {
-    const known = this.dispatchers.get(service);
-    if (known) return known;
-    const {around} = this;
+    const existing = this.dispatchers.get(service);
+    if (existing) return existing;
+    const {dependencies} = this;
     const dispatcher = new ServiceDispatcher({
-      ...around,
+      ...dependencies,
       service,
       onDidAssessPrimary: (instance, trouble) => {
-        around.onDidAssessPrimary({service, instance, trouble});
+        dependencies.onDidAssessPrimary({service, instance, trouble});
       },
     });
     void dispatcher.start(this.signal);
     this.dispatchers.set(service, dispatcher);
     const definition = this.definitions.get(service);
     if (definition) dispatcher.post(this.definitionOf(definition));
-    this.tellMembersTo(dispatcher, service);
-    const lead = this.leads.get(service);
-    if (lead) dispatcher.post({kind: 'primary', lead});
+    this.sendMembersTo(dispatcher, service);
+    const assignment = this.assignments.get(service);
+    if (assignment) dispatcher.post({kind: 'primary', lead: assignment});
     return dispatcher;
   }
 
@@ -331,63 +336,65 @@
     return {kind: 'definition', definition, isByClass};
   }
 
-  /** Work of an account may be another pooler's, even where this is one. */
+  /** A pooler runs only shared work itself; accounts may use another one. */
   private runnerOf(service: string, user: MemberUser): StatementRunner {
     if (!this.isPooled(service)) return LOCAL_RUNNER;
-    const isOwn = user === SHARED_USER && this.isPoolerOf(service);
-    return isOwn ? LOCAL_RUNNER : this.around.pooledRunner;
+    const isOwn = user === SHARED_USER && this.isPoolerFor(service);
+    return isOwn ? LOCAL_RUNNER : this.dependencies.pooledRunner;
   }
 
-  /** Whether some proxies keep the connections of a service for all. */
+  /** Whether poolers keep the connections of a service. */
   private isPooled(service: string): boolean {
     return this.poolers.get(service).length > 0;
   }
 
-  private isPoolerOf(service: string): boolean {
+  private isPoolerFor(service: string): boolean {
     const poolers = this.poolers.get(service);
-    return poolers.some(({instance}) => instance === this.around.instance);
+    return poolers.some(
+      ({instance}) => instance === this.dependencies.instance,
+    );
   }
 
-  private servesItself(service: string): boolean {
-    return !this.isPooled(service) || this.isPoolerOf(service);
+  private servesDirectly(service: string): boolean {
+    return !this.isPooled(service) || this.isPoolerFor(service);
   }
 
-  /** Instances that share the connections of a service with this one. */
-  private sharersOf(service: string): ConnectionPeers {
+  /** The instances that share the connections of a service. */
+  private peersOf(service: string): ConnectionPeers {
     const poolers = this.poolers.get(service);
-    if (!this.isPoolerOf(service)) {
-      const elsewhere = this.isPooled(service);
+    if (!this.isPoolerFor(service)) {
+      const isPooledElsewhere = this.isPooled(service);
       return {
-        instanceCount: this.proxies,
+        instanceCount: this.proxyCount,
         sameRegionCount: 0,
-        isPooledElsewhere: elsewhere,
+        isPooledElsewhere,
       };
     }
-    const {region, regionOf} = this.around;
-    const near = poolers.filter(({site}) => regionOf(site) === region);
+    const {region, regionOf} = this.dependencies;
+    const sameRegion = poolers.filter(({site}) => regionOf(site) === region);
     return {
       instanceCount: poolers.length,
-      sameRegionCount: near.length,
+      sameRegionCount: sameRegion.length,
       isPooledElsewhere: false,
     };
   }
 
-  /** The region of the primary of a service; undefined where none is known. */
+  /** The region of a service's primary; undefined if it is unknown. */
   primaryRegionOf(service: string): string | undefined {
-    const instance = this.leads.get(service)?.instance;
+    const instance = this.assignments.get(service)?.instance;
     const site = this.siteOf.get(instance ?? '');
-    return site === undefined ? undefined : this.around.regionOf(site);
+    return site === undefined ? undefined : this.dependencies.regionOf(site);
   }
 
-  private tellMembers(isNews: (service: string) => boolean): void {
+  private sendMembers(hasChanged: (service: string) => boolean): void {
     for (const [service, dispatcher] of this.dispatchers) {
-      if (isNews(service)) this.tellMembersTo(dispatcher, service);
+      if (hasChanged(service)) this.sendMembersTo(dispatcher, service);
     }
   }
 
-  private tellMembersTo(dispatcher: ServiceDispatcher, service: string): void {
+  private sendMembersTo(dispatcher: ServiceDispatcher, service: string): void {
     const members = this.members.get(service);
-    const sharers = this.sharersOf(service);
-    dispatcher.post({kind: 'members', members, sharers});
+    const peers = this.peersOf(service);
+    dispatcher.post({kind: 'members', members, sharers: peers});
   }
 }
--- a/src/services/gateway/node/gateway_meter.ts
+++ b/src/services/gateway/node/gateway_meter.ts
@@ -1,22 +1,20 @@
 import type {Histogram} from 'hdr-histogram-js';
-// The builder alone: readers and writers of logs, which the package's index
-// loads, format numbers for locales and cost a start 8 of its 50 ms.
+// The builder alone: the package's index also loads readers and writers of
+// logs, which slow the start of the process.
 import {build} from 'hdr-histogram-js/dist/HistogramBuilder';
 
-/** Parts of a request's time. */
+/** Phases of a request's latency. */
 export type GatewayPhase = 'queue' | 'whole';
 
 const PHASES: readonly GatewayPhase[] = ['queue', 'whole'];
-/** More routes than this share one series, so that memory stays bounded. */
-const MOST_SERIES = 64;
+/** Further routes share one series, to bound memory. */
+const MAX_ROUTES = 64;
 const OTHER_ROUTES = 'other';
-/** The same for accounts, which have counters only. */
-const MOST_ACCOUNTS = 256;
+const MAX_ACCOUNTS = 256;
 const OTHER_ACCOUNTS = 'other';
-/** The same for services with their priorities. */
-const MOST_CLASSES = 256;
+const MAX_CLASSES = 256;
 const OTHER_CLASSES = 'service="other",priority=""';
-const MOST_MICROSECONDS = 60_000_000;
+const MAX_LATENCY_US = 60_000_000;
 const QUANTILES = [0.5, 0.9, 0.99];
 
 /** Counters and latency histograms of requests, for each route. */
@@ -28,68 +26,66 @@
   private readonly answers = new Map<string, number>();
   private readonly refusals = new Map<string, number>();
   private readonly classes = new Set<string>();
-  private readonly waiting = new Map<string, number>();
-  private readonly places = new Map<string, number>();
+  private readonly queued = new Map<string, number>();
+  private readonly checkouts = new Map<string, number>();
 
-  /** Notes the time that a part of a request took, in milliseconds. */
   recordLatency(
     route: string,
     phase: GatewayPhase,
     milliseconds: number,
   ): void {
     const micros = Math.round(milliseconds * 1_000);
-    const value = Math.min(Math.max(0, micros), MOST_MICROSECONDS);
-    this.histogram(this.seriesOf(route), phase).recordValue(value);
+    const value = Math.min(Math.max(0, micros), MAX_LATENCY_US);
+    this.histogramOf(this.routeLabelOf(route), phase).recordValue(value);
   }
 
   count(route: string, outcome: string): void {
-    const key = `route="${this.seriesOf(route)}",outcome="${outcome}"`;
+    const key = `route="${this.routeLabelOf(route)}",outcome="${outcome}"`;
     increase(this.counts, key);
   }
 
-  /** Counts an answer to a client account. */
   countAnswer(account: string): void {
-    increase(this.answers, `account="${this.accountOf(account)}"`);
+    increase(this.answers, `account="${this.accountLabelOf(account)}"`);
   }
 
-  /** Counts a refusal of a client account's request, which did not run. */
+  /** Counts a request of a client account that was refused and did not run. */
   countRefusal(account: string, reason: string): void {
-    const name = this.accountOf(account);
+    const name = this.accountLabelOf(account);
     increase(this.refusals, `account="${name}",reason="${reason}"`);
   }
 
-  /** Counts requests of a class in and out that wait for places. */
+  /** Changes the number of queued requests of a service and priority. */
   addQueued(service: string, priority: number, change: number): void {
-    increase(this.waiting, this.classOf(service, priority), change);
+    increase(this.queued, this.classLabelsOf(service, priority), change);
   }
 
-  /** Counts what became of requests of a class that asked for a place. */
+  /** Counts a request that got a connection or was refused one. */
   countCheckout(
     service: string,
     priority: number,
     outcome: 'served' | 'refused',
   ): void {
-    const labels = this.classOf(service, priority);
-    increase(this.places, `${labels},outcome="${outcome}"`);
+    const labels = this.classLabelsOf(service, priority);
+    increase(this.checkouts, `${labels},outcome="${outcome}"`);
   }
 
-  /** The series as text, in the usual format. */
+  /** Renders all series in the Prometheus text format. */
   render(): string {
     const lines = [
       ...renderCounter('bulrushstage_requests_total', this.counts),
       ...renderCounter('bulrushstage_account_answers_total', this.answers),
       ...renderCounter('bulrushstage_account_refusals_total', this.refusals),
-      ...renderCounter('bulrushstage_places_total', this.places),
-      ...renderGauge('bulrushstage_places_waiting', this.waiting),
+      ...renderCounter('bulrushstage_places_total', this.checkouts),
+      ...renderGauge('bulrushstage_places_waiting', this.queued),
     ];
     lines.push('# TYPE bulrushstage_request_seconds summary');
     for (const route of this.routes) {
-      for (const phase of PHASES) lines.push(...this.summary(route, phase));
+      for (const phase of PHASES) lines.push(...this.summarize(route, phase));
     }
     return `${lines.join('\n')}\n`;
   }
 
-  private summary(route: string, phase: GatewayPhase): string[] {
+  private summarize(route: string, phase: GatewayPhase): string[] {
     const histogram = this.histograms.get(`${route} ${phase}`);
     if (!histogram) return [];
     const labels = `route="${route}",part="${phase}"`;
@@ -101,35 +97,35 @@
     return [...values, `${name}_count{${labels}} ${histogram.totalCount}`];
   }
 
-  private accountOf(account: string): string {
+  private accountLabelOf(account: string): string {
     if (this.accounts.has(account)) return account;
-    if (this.accounts.size >= MOST_ACCOUNTS) return OTHER_ACCOUNTS;
+    if (this.accounts.size >= MAX_ACCOUNTS) return OTHER_ACCOUNTS;
     this.accounts.add(account);
     return account;
   }
 
-  private classOf(service: string, priority: number): string {
+  private classLabelsOf(service: string, priority: number): string {
     const labels = `service="${service}",priority="${priority}"`;
     if (this.classes.has(labels)) return labels;
-    if (this.classes.size >= MOST_CLASSES) return OTHER_CLASSES;
+    if (this.classes.size >= MAX_CLASSES) return OTHER_CLASSES;
     this.classes.add(labels);
     return labels;
   }
 
-  private seriesOf(route: string): string {
+  private routeLabelOf(route: string): string {
     if (this.routes.has(route)) return route;
-    const name = this.routes.size >= MOST_SERIES ? OTHER_ROUTES : route;
+    const name = this.routes.size >= MAX_ROUTES ? OTHER_ROUTES : route;
     this.routes.add(name);
     return name;
   }
 
-  private histogram(route: string, phase: GatewayPhase): Histogram {
+  private histogramOf(route: string, phase: GatewayPhase): Histogram {
     const key = `${route} ${phase}`;
     const known = this.histograms.get(key);
     if (known) return known;
     const histogram = build({
       lowestDiscernibleValue: 1,
-      highestTrackableValue: MOST_MICROSECONDS,
+      highestTrackableValue: MAX_LATENCY_US,
       numberOfSignificantValueDigits: 2,
       bitBucketSize: 32,
       autoResize: true,
--- a/src/services/gateway/node/gateway_session.ts
+++ b/src/services/gateway/node/gateway_session.ts
@@ -14,209 +14,222 @@
 import type {MemberStatement} from './statement_preparation';
 import type {SessionTransaction} from './statement_runner';
 
-/** What a session is told. */
+/** A message to a session's mailbox. */
 export type SessionMessage =
   | {
       readonly kind: 'request';
       readonly request: CallerRequest;
       readonly receivedAt: number;
     }
-  /** The transaction rested too long. */
-  | {readonly kind: 'rested'; readonly transaction: SessionTransaction}
-  /** What its caller may do may have changed. */
-  | {readonly kind: 'check'}
-  /** End as soon as nothing of the session is under way. */
+  /** The transaction was idle for too long. */
+  | {readonly kind: 'idle timeout'; readonly transaction: SessionTransaction}
+  /** The caller's access may have changed. */
+  | {readonly kind: 'check access'}
+  /** End as soon as the session is idle. */
   | {readonly kind: 'drain'}
-  /** End the open transaction too. */
-  | {readonly kind: 'cut'};
+  /** Abort the open transaction and end. */
+  | {readonly kind: 'abort'};
 
-/** Requests that a caller may send ahead of their answers. */
-const MOST_AHEAD = 64;
+const MAX_PIPELINED_REQUESTS = 64;
 
-/**
- * An instance that lost control asks for it again at least as often, in
- * milliseconds; nobody knows when it will be there.
- */
-const UNCONFIRMED_MS = 300;
+/** About the interval at which an instance tries to reach control again. */
+const KEY_RETRY_MS = 300;
 
 /** The task of one caller's session. */
 export class GatewaySession {
-  private readonly mailbox = new Mailbox<SessionMessage>(MOST_AHEAD);
+  private readonly mailbox = new Mailbox<SessionMessage>(
+    MAX_PIPELINED_REQUESTS,
+  );
   private transaction: SessionTransaction | undefined;
-  private cancelRest = () => {};
-  private draining = false;
-  private hasServed = false;
+  private cancelIdleTimeout = () => {};
+  private isDraining = false;
+  private hasAnswered = false;
 
   constructor(
     private readonly context: SessionContext,
-    private readonly admission: Pick<CallerAccess, 'database' | 'denial'>,
+    private readonly access: Pick<CallerAccess, 'database' | 'denial'>,
     private readonly channel: CallerChannel,
-    private readonly restLimitMs: () => number,
+    private readonly idleLimitMs: () => number,
   ) {}
 
-  /** Runs until the caller is gone or the session was told to end. */
+  /** Runs until the caller disconnects or the session ends. */
   start(): Promise<void> {
     const {signal} = this.context;
     signal.addEventListener('abort', () => this.mailbox.close(), {once: true});
     return startTask('session', () => this.run());
   }
 
-  /** False where the caller sends further ahead than it may. */
+  /** False if the caller has too many pipelined requests. */
   post(message: SessionMessage): boolean {
     return this.mailbox.post(message);
   }
 
   /**
-   * Guard: a session that began while this instance stops has its first
-   * request on the way. Closing it at rest would cut that request off; it is
-   * closed with its first answer instead.
+   * Guard: a session that begins while this instance drains is closed after its
+   * first reply. Closing it earlier would lose the request that the caller has
+   * already sent.
    */
-  private get mayClose(): boolean {
-    return this.draining && this.hasServed && !this.transaction;
+  private get canClose(): boolean {
+    return this.isDraining && this.hasAnswered && !this.transaction;
   }
 
   private *run(): Task<void> {
     for (;;) {
       const message = yield* this.mailbox.receive();
       if (!message) break;
-      yield* this.handle(message);
-      if (this.mayClose) this.channel.close();
+      yield* this.handleMessage(message);
+      if (this.canClose) this.channel.close();
     }
-    this.cancelRest();
-    // The caller left: what it did not commit is not kept.
+    this.cancelIdleTimeout();
+    // The caller disconnected: roll back what it did not commit.
     this.transaction?.abort('the caller left');
   }
 
-  private *handle(message: SessionMessage): Task<void> {
+  private *handleMessage(message: SessionMessage): Task<void> {
     switch (message.kind) {
       case 'request':
-        return yield* this.onRequest(message.request, message.receivedAt);
-      case 'rested':
+        return yield* this.handleRequest(message.request, message.receivedAt);
+      case 'idle timeout':
         if (message.transaction !== this.transaction) return;
         return this.transaction.abort('it rested too long');
-      case 'check':
+      case 'check access':
         return this.checkAccess();
       case 'drain':
-        this.draining = true;
+        this.isDraining = true;
         return;
-      case 'cut':
-        this.draining = true;
-        this.hasServed = true;
+      case 'abort':
+        this.isDraining = true;
+        this.hasAnswered = true;
         this.transaction?.abort('this instance stops');
         return;
     }
   }
 
-  private *onRequest(
+  private *handleRequest(
     {requestId, statement}: CallerRequest,
-    since: number,
+    receivedAt: number,
   ): Task<void> {
-    this.cancelRest();
-    const denied = this.deny(requestId);
+    this.cancelIdleTimeout();
+    const denial = this.deny(requestId);
     const {result, state} =
-      denied ?? (yield* this.stepOf(requestId, statement, since));
-    if (state !== 'idle') this.watchRest();
+      denial ?? (yield* this.runRequest(requestId, statement, receivedAt));
+    if (state !== 'idle') this.startIdleTimeout();
     const position = this.context.sessionState.lastCommit?.position;
-    // What follows a prepared statement or a value is on its way already.
-    this.hasServed ||= result.kind === 'error' || result.signature !== '';
+    // A request that follows a PREPARE or SET may already have been sent.
+    this.hasAnswered ||= result.kind === 'error' || result.signature !== '';
     this.channel.answer({result, state, position});
     const route = this.context.route();
     if (!route) return;
-    const tookMs = this.context.clock.now() - since;
+    const tookMs = this.context.clock.now() - receivedAt;
     const {user, telemetry} = this.context;
     telemetry.recordAnswer(user, route, result, tookMs);
   }
 
   /**
-   * Refuses a statement that its caller may not run. Looked at once it is
-   * handled, after whatever it waited for: a key that was withdrawn meanwhile
-   * no longer counts.
+   * Refuses a statement that its caller may not run. Checked when the statement
+   * is handled, so that a key withdrawn while it was queued is rejected.
    */
   private deny(requestId: string): StatementOutcome | undefined {
-    const denial = this.admission.denial();
+    const denial = this.access.denial();
     if (!denial) return undefined;
     this.context.telemetry.recordUnauthorized(
       requestId,
       this.context.caller,
       denial,
     );
-    const wasOpen = this.endForbidden(denial);
-    // Only what this instance cannot confirm may be allowed again here.
-    if (denial !== 'unconfirmed') this.endAtRest();
-    const {database} = this.admission;
+    const wasOpen = this.abortDenied(denial);
+    // An unconfirmed key may become valid again; other denials are final.
+    if (denial !== 'unconfirmed') this.closeWhenIdle();
+    const {database} = this.access;
     const result = denialResult(denial, database, wasOpen);
     return {result, state: 'idle'};
   }
 
-  /** Undoes the transaction of a caller that may not go on with it. */
-  private endForbidden(denial: AccessDenial): boolean {
+  /** Aborts the open transaction; false if there is none. */
+  private abortDenied(denial: AccessDenial): boolean {
     const {transaction} = this;
     transaction?.abort(denial);
     this.transaction = undefined;
     return transaction !== undefined;
   }
 
-  /** Gives back at once what a caller holds whose key was withdrawn. */
+  /** Releases the connection of a caller whose key was withdrawn. */
   private checkAccess(): void {
-    const denial = this.admission.denial();
+    const denial = this.access.denial();
     if (!denial || denial === 'unconfirmed') return;
-    // The caller hears why with its next statement.
+    // The caller gets the reason with its next statement.
     if (this.transaction) return this.transaction.abort(denial);
-    this.endAtRest();
+    this.closeWhenIdle();
   }
 
-  private endAtRest(): void {
-    this.draining = true;
-    this.hasServed = true;
+  private closeWhenIdle(): void {
+    this.isDraining = true;
+    this.hasAnswered = true;
   }
 
-  private *stepOf(
+  private *runRequest(
     requestId: string,
     statement: Statement | undefined,
-    since: number,
+    receivedAt: number,
   ): Task<StatementOutcome> {
-    if (!statement) return this.here(failure('bad message', 'no statement'));
+    if (!statement) return this.answer(failure('bad message', 'no statement'));
     const {transaction} = this;
     if (transaction) {
-      return yield* this.inTransaction(transaction, requestId, statement);
+      return yield* this.runInTransaction(transaction, requestId, statement);
     }
     const route = this.context.route();
     if (!route) {
-      return this.here(failure('unknown database', 'the route was dropped'));
+      return this.answer(failure('unknown database', 'the route was dropped'));
     }
     switch (statement.kind) {
       case 'begin':
         this.transaction = this.context
           .runnerOf(route.service)
-          .beginTransaction(this.context, route, statement.readOnly, since);
+          .beginTransaction(
+            this.context,
+            route,
+            statement.readOnly,
+            receivedAt,
+          );
         return BEGIN_OUTCOME;
       case 'commit':
       case 'rollback':
-        return this.here(failure('bad message', 'no transaction is open'));
+        return this.answer(failure('bad message', 'no transaction is open'));
       default:
-        return this.here(
-          yield* this.runAlone(requestId, statement, route, since),
+        return this.answer(
+          yield* this.runOutsideTransaction(
+            requestId,
+            statement,
+            route,
+            receivedAt,
+          ),
         );
     }
   }
 
-  private *runAlone(
+  private *runOutsideTransaction(
     requestId: string,
     statement: Exclude<Statement, {kind: 'begin' | 'commit' | 'rollback'}>,
     route: DatabaseRoute,
-    since: number,
+    receivedAt: number,
   ): Task<StatementResult> {
-    const local = this.runHere(statement);
+    const local = this.runLocally(statement);
     if (local) return local;
-    const work = statement as MemberStatement;
-    const isWrite = this.isWrite(work);
-    if (isWrite === undefined) return unknownName(work);
-    const request = {requestId, statement: work, isWrite, route, since};
+    const memberStatement = statement as MemberStatement;
+    const isWrite = this.isWrite(memberStatement);
+    if (isWrite === undefined) return unknownNameResult(memberStatement);
+    const request = {
+      requestId,
+      statement: memberStatement,
+      isWrite,
+      route,
+      since: receivedAt,
+    };
     const runner = this.context.runnerOf(route.service);
     return yield* runner.runStatement(this.context, request);
   }
 
-  private *inTransaction(
+  private *runInTransaction(
     transaction: SessionTransaction,
     requestId: string,
     statement: Statement,
@@ -228,29 +241,32 @@
           state: 'open',
         };
       case 'commit': {
-        const step = yield* transaction.commit(requestId);
+        const outcome = yield* transaction.commit(requestId);
         this.transaction = undefined;
-        return step;
+        return outcome;
       }
       case 'rollback':
         yield* transaction.rollback();
         this.transaction = undefined;
         return {result: DONE_LOCALLY, state: 'idle'};
       default: {
-        const local = this.runHere(statement);
+        const local = this.runLocally(statement);
         if (local) return {result: local, state: transaction.state};
-        const work = statement as MemberStatement;
-        const isWrite = this.isWrite(work);
+        const memberStatement = statement as MemberStatement;
+        const isWrite = this.isWrite(memberStatement);
         if (isWrite === undefined) {
-          return {result: unknownName(work), state: transaction.state};
+          return {
+            result: unknownNameResult(memberStatement),
+            state: transaction.state,
+          };
         }
-        return yield* transaction.run(requestId, work, isWrite);
+        return yield* transaction.run(requestId, memberStatement, isWrite);
       }
     }
   }
 
-  /** Statements that need no member; undefined for the others. */
-  private runHere(statement: Statement): StatementResult | undefined {
+  /** Runs a statement that needs no member; undefined for others. */
+  private runLocally(statement: Statement): StatementResult | undefined {
     const {sessionState} = this.context;
     switch (statement.kind) {
       case 'set':
@@ -274,25 +290,25 @@
 
   private isWrite(statement: MemberStatement): boolean | undefined {
     if (statement.kind !== 'execute') return statement.kind === 'write';
-    const known = this.context.sessionState.findPrepared(statement.name);
-    return known && known.action === 'write';
+    const prepared = this.context.sessionState.findPrepared(statement.name);
+    return prepared && prepared.action === 'write';
   }
 
-  private here(result: StatementResult): StatementOutcome {
+  private answer(result: StatementResult): StatementOutcome {
     return {result, state: this.transaction ? 'open' : 'idle'};
   }
 
-  private watchRest(): void {
+  private startIdleTimeout(): void {
     const {transaction} = this;
-    const limit = this.restLimitMs();
-    if (!transaction || limit <= 0) return;
-    this.cancelRest = after(this.context.signal, limit, () => {
-      this.mailbox.post({kind: 'rested', transaction});
+    const idleLimitMs = this.idleLimitMs();
+    if (!transaction || idleLimitMs <= 0) return;
+    this.cancelIdleTimeout = after(this.context.signal, idleLimitMs, () => {
+      this.mailbox.post({kind: 'idle timeout', transaction});
     });
   }
 }
 
-/** What a caller is told that may not run a statement; nothing is kept. */
+/** The reply to a statement that its caller may not run. */
 export function denialResult(
   denial: AccessDenial,
   database: string,
@@ -306,13 +322,13 @@
     case 'route changed':
       return failure(wasOpen ? 'aborted' : 'busy', 'connect again');
     case 'unconfirmed': {
-      const text = `keys cannot be confirmed, retry after ${UNCONFIRMED_MS} ms`;
+      const text = `keys cannot be confirmed, retry after ${KEY_RETRY_MS} ms`;
       return failure(wasOpen ? 'aborted' : 'busy', text);
     }
   }
 }
 
-function unknownName(statement: Statement): StatementResult {
+function unknownNameResult(statement: Statement): StatementResult {
   const name = statement.kind === 'execute' ? statement.name : '';
   return failure('unknown name', `no statement ${name}`);
 }
--- a/src/services/gateway/node/local_transaction.ts
+++ b/src/services/gateway/node/local_transaction.ts
@@ -22,61 +22,60 @@
   type SessionContext,
 } from './session_context';
 
-/** How a statement of a transaction ended, and the state after it. */
+/** The result of a statement and the transaction state after it. */
 export interface StatementOutcome {
   readonly result: StatementResult;
   readonly state: TransactionState;
 }
 
-const BUSY_PAUSE_MS = 15;
-const MOST_TRIES = 6;
-const BEGIN_MS = 500;
+const BUSY_RETRY_DELAY_MS = 15;
+const MAX_ATTEMPTS = 6;
+const BEGIN_TIMEOUT_MS = 500;
 
 /**
- * One transaction of a session. It takes a connection with its first
- * statement, not with its begin, and keeps it to its end.
+ * A transaction on this instance's own connections. It checks a connection out
+ * with its first statement, not with its begin, and holds it until it ends.
  */
 export class LocalTransaction {
-  private turn: CheckedOutConnection | undefined;
-  private failed = false;
-  /** Something was written: its commit proves that the member led. */
-  private wrote = false;
+  private connection: CheckedOutConnection | undefined;
+  private hasFailed = false;
+  /** A successful commit of writes shows that the member is the primary. */
+  private hasWritten = false;
 
   constructor(
     private readonly context: SessionContext,
     readonly route: DatabaseRoute,
-    private readonly readOnly: boolean,
-    private readonly since: number,
+    private readonly isReadOnly: boolean,
+    private readonly receivedAt: number,
   ) {}
 
   get state(): TransactionState {
-    return this.failed ? 'failed' : 'open';
+    return this.hasFailed ? 'failed' : 'open';
   }
 
   private get needsPrimary(): boolean {
     const {consistency} = this.route;
-    return !this.readOnly || consistency === Consistency.CONSISTENCY_PRIMARY;
+    return !this.isReadOnly || consistency === Consistency.CONSISTENCY_PRIMARY;
   }
 
-  /** Undoes everything; the session's next statements fail. */
+  /** Rolls back; the session's next statements fail until it ends. */
   abort(reason: string): void {
-    if (this.failed) return;
-    this.failed = true;
-    // Closing the connection rolls back, also where it no longer answers.
-    this.turn?.release(false);
-    this.turn = undefined;
+    if (this.hasFailed) return;
+    this.hasFailed = true;
+    // Closing the connection rolls back even if the member is unresponsive.
+    this.connection?.release(false);
+    this.connection = undefined;
     const attempt = {instance: '', tookMs: 0, detail: reason};
     this.context.telemetry.recordFailure('-', this.route.service, attempt);
   }
 
-  /** Ends without a commit. */
   *rollback(): Task<void> {
-    const {turn} = this;
-    this.turn = undefined;
-    if (!turn) return;
+    const {connection} = this;
+    this.connection = undefined;
+    if (!connection) return;
     const call = {requestId: undefined, statement: ROLLBACK};
-    const [reply] = yield* turn.send([call], BEGIN_MS);
-    turn.release(isOutsideTransaction(reply));
+    const [reply] = yield* connection.send([call], BEGIN_TIMEOUT_MS);
+    connection.release(isOutsideTransaction(reply));
   }
 
   *run(
@@ -84,12 +83,12 @@
     statement: MemberStatement,
     isWrite: boolean,
   ): Task<StatementOutcome> {
-    if (this.failed) return ABORTED_OUTCOME;
+    if (this.hasFailed) return ABORTED_OUTCOME;
     const deadline = this.context.clock.now() + this.route.statementMs;
-    const refused = yield* this.begin(requestId, deadline);
-    if (refused) return this.fail(refused);
+    const refusal = yield* this.begin(requestId, deadline);
+    if (refusal) return this.fail(refusal);
     return yield* this.runOn(
-      this.turn!,
+      this.connection!,
       requestId,
       statement,
       isWrite,
@@ -98,167 +97,197 @@
   }
 
   *commit(requestId: string): Task<StatementOutcome> {
-    if (this.failed) return {...ABORTED_OUTCOME, state: 'idle'};
+    if (this.hasFailed) return {...ABORTED_OUTCOME, state: 'idle'};
     const deadline = this.context.clock.now() + this.route.statementMs;
-    const refused = yield* this.begin(requestId, deadline);
-    if (refused) return {result: refused, state: 'idle'};
-    const result = yield* this.commitOn(this.turn!, requestId, deadline);
-    this.turn = undefined;
+    const refusal = yield* this.begin(requestId, deadline);
+    if (refusal) return {result: refusal, state: 'idle'};
+    const result = yield* this.commitOn(this.connection!, requestId, deadline);
+    this.connection = undefined;
     return {result, state: 'idle'};
   }
 
-  /** Takes a connection and begins there; the refusal where it cannot. */
+  /** Checks a connection out and begins on it; returns a refusal, if any. */
   private *begin(
     requestId: string,
     deadline: number,
   ): Task<StatementResult | undefined> {
-    if (this.turn) return undefined;
-    const {context, route, needsPrimary, since} = this;
+    if (this.connection) return undefined;
+    const {context, route, needsPrimary, receivedAt} = this;
     context.classes.onRequest(route.service);
-    const passed = new Set<string>();
-    const terms = {route, needsPrimary, isTransaction: true, since, deadline};
-    const wish = {...terms, requestId, passed};
+    const triedInstances = new Set<string>();
+    const requirements = {
+      route,
+      needsPrimary,
+      isTransaction: true,
+      receivedAt,
+      deadline,
+    };
+    const options = {...requirements, requestId, triedInstances};
     let waitedMs = 0;
-    for (let tries = 1; ; tries++) {
-      const taken = yield* checkOutConnection(context, {...wish, waitedMs});
-      if (taken.isErr) return refusalResult(taken.error);
-      const turn = taken.value;
-      waitedMs += turn.waitedMs;
-      const trouble = yield* this.beginOn(turn, deadline);
-      // Guard: given up while it began, it would hold its connection for good.
-      if (this.failed) {
-        turn.release(false);
-        return GIVEN_UP;
+    for (let attempts = 1; ; attempts++) {
+      const checkout = yield* checkOutConnection(context, {
+        ...options,
+        waitedMs,
+      });
+      if (checkout.isErr) return refusalResult(checkout.error);
+      const connection = checkout.value;
+      waitedMs += connection.waitedMs;
+      const reason = yield* this.beginOn(connection, deadline);
+      // Guard: aborted while it began, it would hold its connection for good.
+      if (this.hasFailed) {
+        connection.release(false);
+        return ABORTED;
       }
-      if (!trouble) {
-        this.turn = turn;
+      if (!reason) {
+        this.connection = connection;
         return undefined;
       }
-      passed.add(turn.instance);
+      triedInstances.add(connection.instance);
       const now = context.clock.now();
-      const attempt = {instance: turn.instance, tookMs: 0, detail: trouble};
+      const attempt = {
+        instance: connection.instance,
+        tookMs: 0,
+        detail: reason,
+      };
       context.telemetry.recordRetry(requestId, route.service, attempt);
-      const isLast = tries >= MOST_TRIES || now >= deadline;
-      if (isLast || !canRetry(context, requestId, route.service, trouble)) {
-        return failure('busy', `${trouble}, retry after 100 ms`);
+      const isLast = attempts >= MAX_ATTEMPTS || now >= deadline;
+      if (isLast || !canRetry(context, requestId, route.service, reason)) {
+        return failure('busy', `${reason}, retry after 100 ms`);
       }
-      yield* pause(BUSY_PAUSE_MS);
+      yield* pause(BUSY_RETRY_DELAY_MS);
     }
   }
 
-  /** Begins on a connection; why it could not, and undefined if it could. */
+  /** Begins on a connection; returns the reason for a failure, if any. */
   private *beginOn(
-    turn: CheckedOutConnection,
+    connection: CheckedOutConnection,
     deadline: number,
   ): Task<string | undefined> {
-    const {context, readOnly, needsPrimary} = this;
-    const prelude = context.sessionState.statementsToRestore(turn.grant.pooled);
-    if (!(yield* turn.runPrelude(prelude, BEGIN_MS))) {
-      turn.release(false);
+    const {context, isReadOnly, needsPrimary} = this;
+    const prelude = context.sessionState.statementsToRestore(
+      connection.checkout.pooled,
+    );
+    if (!(yield* connection.runPrelude(prelude, BEGIN_TIMEOUT_MS))) {
+      connection.release(false);
       return 'own statements failed';
     }
-    const askedAt = context.clock.now();
-    const {minPosition} = turn.grant;
-    // A plain transaction is one that a member without the lead refuses, so
-    // it serves where every commit must be seen.
-    const plain = needsPrimary || !minPosition;
+    const sentAt = context.clock.now();
+    const {minPosition} = connection.checkout;
+    // Only the primary accepts a read-write begin, so it suits reads that must
+    // see every commit.
+    const isReadWrite = needsPrimary || !minPosition;
     const statement: TargetStatement = {
       kind: 'begin',
-      readOnly: readOnly && !plain,
+      readOnly: isReadOnly && !isReadWrite,
     };
-    const timeMs = Math.min(BEGIN_MS, deadline - askedAt);
+    const timeoutMs = Math.min(BEGIN_TIMEOUT_MS, deadline - sentAt);
     const call = {
       requestId: undefined,
       statement,
       ...(minPosition && {minPosition}),
     };
-    const [reply] = yield* turn.send([call], timeMs);
-    const leads = isDone(reply) && plain;
-    turn.reportObservation(askedAt, reply!, leads ? 'leads' : undefined);
+    const [reply] = yield* connection.send([call], timeoutMs);
+    const isPrimary = isDone(reply) && isReadWrite;
+    connection.reportObservation(
+      sentAt,
+      reply!,
+      isPrimary ? 'leads' : undefined,
+    );
     if (isDone(reply)) {
-      const left = deadline - context.clock.now();
-      if (!plain || (yield* turn.confirmPrimary(left, reply))) {
+      const remainingMs = deadline - context.clock.now();
+      if (
+        !isReadWrite ||
+        (yield* connection.confirmPrimary(remainingMs, reply))
+      ) {
         return undefined;
       }
-      turn.release(false);
+      connection.release(false);
       return 'the lead is not proved';
     }
-    turn.release(isOutsideTransaction(reply));
+    connection.release(isOutsideTransaction(reply));
     if (reply?.kind !== 'answer') return `lost: ${reply?.reason}`;
     return reply.result.kind === 'error' ? reply.result.failure : 'no begin';
   }
 
   private *runOn(
-    turn: CheckedOutConnection,
+    connection: CheckedOutConnection,
     requestId: string,
-    asked: MemberStatement,
+    requested: MemberStatement,
     isWrite: boolean,
     deadline: number,
   ): Task<StatementOutcome> {
     const {clock} = this.context;
-    const ready = yield* prepareConnection(this.context, turn, asked);
-    if (ready.kind === 'unknown name') {
+    const preparation = yield* prepareConnection(
+      this.context,
+      connection,
+      requested,
+    );
+    if (preparation.kind === 'unknown name') {
       return {result: failure('unknown name', 'not prepared'), state: 'open'};
     }
-    if (ready.kind === 'connection failed') {
+    if (preparation.kind === 'connection failed') {
       return this.fail(failure('aborted', 'own statements failed'));
     }
-    const {statement} = ready;
+    const {statement} = preparation;
     for (;;) {
-      const askedAt = clock.now();
-      const [reply] = yield* turn.send(
+      const sentAt = clock.now();
+      const [reply] = yield* connection.send(
         [{requestId, statement}],
-        deadline - askedAt,
+        deadline - sentAt,
       );
-      turn.reportObservation(askedAt, reply!);
-      if (isBusy(reply) && clock.now() + BUSY_PAUSE_MS < deadline) {
-        yield* pause(BUSY_PAUSE_MS);
+      connection.reportObservation(sentAt, reply!);
+      if (isBusy(reply) && clock.now() + BUSY_RETRY_DELAY_MS < deadline) {
+        yield* pause(BUSY_RETRY_DELAY_MS);
         continue;
       }
-      return this.stepOf(reply!, isWrite);
+      return this.outcomeOf(reply!, isWrite);
     }
   }
 
-  private stepOf(reply: MemberReply, isWrite: boolean): StatementOutcome {
+  private outcomeOf(reply: MemberReply, isWrite: boolean): StatementOutcome {
     if (reply.kind === 'lost') {
-      // Nothing was committed, and the close of the connection rolls back.
+      // Nothing was committed, and closing the connection rolls back.
       return this.fail(failure('aborted', 'the member was lost'));
     }
     const {result, state} = reply;
     if (result.kind === 'done') {
-      this.wrote ||= isWrite;
+      this.hasWritten ||= isWrite;
       return {result, state: 'open'};
     }
     if (state === 'open') return {result, state};
-    const lostLead = result.failure === 'not primary';
-    const told = lostLead
+    const wasReplaced = result.failure === 'not primary';
+    const answer = wasReplaced
       ? failure('aborted', 'the primary was replaced')
       : result;
-    return this.fail(told);
+    return this.fail(answer);
   }
 
   private *commitOn(
-    turn: CheckedOutConnection,
+    connection: CheckedOutConnection,
     requestId: string,
     deadline: number,
   ): Task<StatementResult> {
     const {context} = this;
     const {clock, sessionState} = context;
     for (;;) {
-      const askedAt = clock.now();
+      const sentAt = clock.now();
       const call = {requestId, statement: COMMIT};
-      const [reply] = yield* turn.send([call], deadline - askedAt);
-      if (isBusy(reply) && clock.now() + BUSY_PAUSE_MS < deadline) {
-        yield* pause(BUSY_PAUSE_MS);
+      const [reply] = yield* connection.send([call], deadline - sentAt);
+      if (isBusy(reply) && clock.now() + BUSY_RETRY_DELAY_MS < deadline) {
+        yield* pause(BUSY_RETRY_DELAY_MS);
         continue;
       }
-      const leads = isDone(reply) && this.wrote;
-      turn.reportObservation(askedAt, reply!, leads ? 'leads' : undefined);
-      turn.release(isOutsideTransaction(reply));
+      const isPrimary = isDone(reply) && this.hasWritten;
+      connection.reportObservation(
+        sentAt,
+        reply!,
+        isPrimary ? 'leads' : undefined,
+      );
+      connection.release(isOutsideTransaction(reply));
       if (reply?.kind !== 'answer') {
         const attempt = {
-          instance: turn.instance,
-          tookMs: clock.now() - askedAt,
+          instance: connection.instance,
+          tookMs: clock.now() - sentAt,
           detail: `no answer to a commit: ${reply?.reason}`,
         };
         context.telemetry.recordFailure(requestId, this.route.service, attempt);
@@ -266,27 +295,27 @@
       }
       const {result, position} = reply;
       if (result.kind === 'done') {
-        if (!this.wrote) return result;
-        const left = deadline - clock.now();
-        if (!(yield* turn.confirmPrimary(left, reply))) {
-          return this.unproven(requestId, turn);
+        if (!this.hasWritten) return result;
+        const remainingMs = deadline - clock.now();
+        if (!(yield* connection.confirmPrimary(remainingMs, reply))) {
+          return this.unverifiedCommit(requestId, connection);
         }
         sessionState.recordCommit(position, clock.now());
         return result;
       }
-      // The member says that the commit did not run, and the connection is
-      // closed or outside the transaction: nothing is kept.
+      // The commit did not run, and the connection is closed or outside the
+      // transaction: nothing is kept.
       if (didNotRun(result.failure)) return failure('aborted', result.failure);
       return result;
     }
   }
 
-  /** The commit of a member that may have been replaced may be undone. */
-  private unproven(
+  /** A commit on a member that may have been replaced can be lost. */
+  private unverifiedCommit(
     requestId: string,
     {instance}: CheckedOutConnection,
   ): StatementResult {
-    const detail = 'committed without a lease on the lead';
+    const detail = 'committed without a lease on the primary';
     const attempt = {instance, tookMs: 0, detail};
     this.context.telemetry.recordFailure(
       requestId,
@@ -297,9 +326,9 @@
   }
 
   private fail(result: StatementResult): StatementOutcome {
-    this.failed = true;
-    this.turn?.release(false);
-    this.turn = undefined;
+    this.hasFailed = true;
+    this.connection?.release(false);
+    this.connection = undefined;
     return {result, state: 'failed'};
   }
 }
@@ -307,11 +336,11 @@
 const ROLLBACK: TargetStatement = {kind: 'rollback'};
 const COMMIT: TargetStatement = {kind: 'commit'};
 
-const GIVEN_UP = failure('aborted', 'the transaction was given up');
+const ABORTED = failure('aborted', 'the transaction was given up');
 
-/** The answer to what follows once a transaction was given up. */
+/** The reply to statements after their transaction was aborted. */
 export const ABORTED_OUTCOME: StatementOutcome = {
-  result: GIVEN_UP,
+  result: ABORTED,
   state: 'failed',
 };
 
@@ -324,7 +353,7 @@
   );
 }
 
-/** The answer to a begin: the system gives it itself. */
+/** The reply to a begin, which the proxy gives without a member. */
 export const BEGIN_OUTCOME: StatementOutcome = {
   result: DONE_LOCALLY,
   state: 'open',
--- a/src/services/gateway/node/member_verified_leases.ts
+++ b/src/services/gateway/node/member_verified_leases.ts
@@ -2,8 +2,8 @@
 import type {LeaseChecks} from '../../lease/common/primary_leases';
 
 /**
- * Proof of leads by control's leases and, where these ran out, by the members
- * themselves; whichever comes first.
+ * Verifies primaries by control's leases and, once these have expired, by the
+ * members themselves; the first confirmation counts.
  */
 export class MemberVerifiedLeases implements LeaseChecks {
   constructor(
@@ -22,27 +22,30 @@
   async waitUntilHeld(
     service: string,
     epoch: number,
-    timeMs: number,
+    timeoutMs: number,
     term?: number,
   ): Promise<boolean> {
-    const byControl = this.leases.waitUntilHeld(service, epoch, timeMs);
+    const byControl = this.leases.waitUntilHeld(service, epoch, timeoutMs);
     if (term === undefined) return byControl;
-    const byMembers = this.askMembers(service, epoch, timeMs, term);
+    const byMembers = this.verifyWithMembers(service, epoch, timeoutMs, term);
     const first = await Promise.race([byControl, byMembers]);
-    // One that gave up leaves it to the other.
+    // If the first result is a timeout, the other one decides.
     return first || (await byControl) || byMembers;
   }
 
-  private askMembers(
+  private verifyWithMembers(
     service: string,
     epoch: number,
-    timeMs: number,
+    timeoutMs: number,
     term: number,
   ): Promise<boolean> {
     return new Promise(resolve => {
-      const wish = {epoch, term, timeoutMs: timeMs, settle: resolve};
-      const isTaken = this.dispatcherOf(service).post({kind: 'verify', wish});
-      if (!isTaken) resolve(false);
+      const request = {epoch, term, timeoutMs, settle: resolve};
+      const isAccepted = this.dispatcherOf(service).post({
+        kind: 'verify',
+        wish: request,
+      });
+      if (!isAccepted) resolve(false);
     });
   }
 }
--- a/src/services/gateway/node/rate_limited_runner.ts
+++ b/src/services/gateway/node/rate_limited_runner.ts
@@ -11,8 +11,8 @@
 import type {StatementRunner, SessionTransaction} from './statement_runner';
 
 /**
- * Counts the operations of callers in before another runner gets them, once
- * each: at the proxy that they came to, and not again at a pooler.
+ * Charges each operation to the limit of its account before it passes it on. An
+ * operation is charged once, by the proxy that received it and not by a pooler.
  */
 export class RateLimitedRunner implements StatementRunner {
   constructor(private readonly runner: StatementRunner) {}
@@ -22,32 +22,36 @@
     request: StatementRequest,
   ): Task<StatementResult> {
     const {requestId, route, since} = request;
-    const refused = yield* admitOperation(context, {requestId, route, since});
-    if (refused) return refused;
+    const refusal = yield* admitOperation(context, {
+      requestId,
+      route,
+      receivedAt: since,
+    });
+    if (refusal) return refusal;
     const result = yield* this.runner.runStatement(context, request);
     if (isNotRun(result)) context.limits.refund(context.user);
     return result;
   }
 
   beginTransaction(
-    ...[context, route, readOnly, since]: Parameters<
+    ...[context, route, isReadOnly, receivedAt]: Parameters<
       StatementRunner['beginTransaction']
     >
   ): SessionTransaction {
     const transaction = this.runner.beginTransaction(
       context,
       route,
-      readOnly,
-      since,
+      isReadOnly,
+      receivedAt,
     );
     return new RateLimitedTransaction(transaction, context, route);
   }
 }
 
-/** A transaction that counts as one operation, with its first statement. */
+/** A transaction, charged as one operation with its first statement. */
 class RateLimitedTransaction implements SessionTransaction {
-  private isCounted = false;
-  /** It was over the limit, and nothing of it goes to the runner. */
+  private isCharged = false;
+  /** The account was over its limit; nothing is passed to the runner. */
   private isRefused = false;
 
   constructor(
@@ -67,23 +71,23 @@
   ): Task<StatementOutcome> {
     const {transaction} = this;
     if (this.isRefused) return ABORTED_OUTCOME;
-    if (!this.mustCount) {
+    if (!this.isChargeDue) {
       return yield* transaction.run(requestId, statement, isWrite);
     }
-    const refused = yield* this.countIn(requestId);
-    this.isRefused = refused !== undefined;
-    if (refused) return {result: refused, state: 'failed'};
-    const step = yield* transaction.run(requestId, statement, isWrite);
-    return this.checkFirst(step);
+    const refusal = yield* this.chargeOperation(requestId);
+    this.isRefused = refusal !== undefined;
+    if (refusal) return {result: refusal, state: 'failed'};
+    const outcome = yield* transaction.run(requestId, statement, isWrite);
+    return this.refundIfNotRun(outcome);
   }
 
   *commit(requestId: string): Task<StatementOutcome> {
     const {transaction} = this;
     if (this.isRefused) return {...ABORTED_OUTCOME, state: 'idle'};
-    if (!this.mustCount) return yield* transaction.commit(requestId);
-    const refused = yield* this.countIn(requestId);
-    if (refused) return {result: refused, state: 'idle'};
-    return this.checkFirst(yield* transaction.commit(requestId));
+    if (!this.isChargeDue) return yield* transaction.commit(requestId);
+    const refusal = yield* this.chargeOperation(requestId);
+    if (refusal) return {result: refusal, state: 'idle'};
+    return this.refundIfNotRun(yield* transaction.commit(requestId));
   }
 
   rollback(): Task<void> {
@@ -94,20 +98,26 @@
     if (!this.isRefused) this.transaction.abort(reason);
   }
 
-  /** One that was given up before its first statement runs nothing. */
-  private get mustCount(): boolean {
-    return !this.isCounted && this.state === 'open';
+  /** False if the transaction was aborted before its first statement. */
+  private get isChargeDue(): boolean {
+    return !this.isCharged && this.state === 'open';
   }
 
-  private *countIn(requestId: string): Task<StatementResult | undefined> {
-    this.isCounted = true;
+  private *chargeOperation(
+    requestId: string,
+  ): Task<StatementResult | undefined> {
+    this.isCharged = true;
     const {context, route} = this;
-    const since = context.clock.now();
-    return yield* admitOperation(context, {requestId, route, since});
+    const receivedAt = context.clock.now();
+    return yield* admitOperation(context, {
+      requestId,
+      route,
+      receivedAt,
+    });
   }
 
-  /** Where nothing was begun the operation did not run. */
-  private checkFirst(step: StatementOutcome): StatementOutcome {
+  /** Refunds the operation if the transaction could not begin. */
+  private refundIfNotRun(step: StatementOutcome): StatementOutcome {
     const {context} = this;
     const isOpen = step.state === 'open';
     if (!isOpen && isNotRun(step.result)) context.limits.refund(context.user);
--- a/src/services/gateway/node/request_telemetry.ts
+++ b/src/services/gateway/node/request_telemetry.ts
@@ -5,13 +5,13 @@
 import type {AccessDenial} from '../common/caller_access';
 import type {GatewayMeter} from './gateway_meter';
 
-/** Which request of which account. */
+/** The id of a request and its caller. */
 export interface RequestIdentity {
   readonly request: string;
   readonly caller: string;
 }
 
-/** What a request was tried on. */
+/** One attempt to run a request on an instance. */
 export interface Attempt {
   readonly instance: string;
   readonly tookMs: number;
@@ -19,8 +19,8 @@
 }
 
 /**
- * Logs and counts what is decided about requests. Those that go well are only
- * counted; each line names the request, the inputs and the outcome.
+ * Logs and counts the outcomes of requests. Successful requests are counted but
+ * not logged.
  */
 export class RequestTelemetry {
   constructor(
@@ -28,21 +28,19 @@
     private readonly meter: GatewayMeter,
   ) {}
 
-  /** A request begins to wait for a place. */
   recordQueued({service, priority}: DatabaseRoute): void {
     this.meter.addQueued(service, priority, 1);
   }
 
-  /** A request waits no more; whether it has a place. */
   recordDequeued(
     route: DatabaseRoute,
     waitedMs: number,
-    isServed: boolean,
+    isGranted: boolean,
   ): void {
     const {name, service, priority} = route;
     this.meter.recordLatency(name, 'queue', waitedMs);
     this.meter.addQueued(service, priority, -1);
-    if (isServed) this.meter.countCheckout(service, priority, 'served');
+    if (isGranted) this.meter.countCheckout(service, priority, 'served');
   }
 
   recordAnswer(
@@ -56,7 +54,7 @@
     this.meter.count(route.name, outcomeOf(result));
   }
 
-  /** A caller was turned away at its start; its key stands in no line. */
+  /** Records a caller rejected at startup; its key is not logged. */
   recordRejectedSession(database: string, denial: AccessDenial): void {
     this.meter.count('-', denial);
     this.log.info('Turned a caller away.', {
@@ -65,7 +63,7 @@
     });
   }
 
-  /** A statement was refused for want of rights; it did not run. */
+  /** Records a statement refused for lack of rights. */
   recordUnauthorized(
     request: string,
     caller: string,
@@ -84,32 +82,40 @@
     const {reason, retryAfterMs, detail} = refusal;
     const waited = Math.round(waitedMs);
     const {service, priority, name} = route;
-    const place = {service, priority, route: name};
-    const fields = {request, caller, ...place, reason, detail};
+    const labels = {service, priority, route: name};
+    const fields = {request, caller, ...labels, reason, detail};
     this.meter.countRefusal(caller, reason);
     this.meter.countCheckout(service, priority, 'refused');
     this.log.info('Refused, not run.', {...fields, waited, retryAfterMs});
   }
 
   recordRetry(request: string, service: string, attempt: Attempt): void {
-    this.log.info('Tries again.', {request, service, ...rounded(attempt)});
+    this.log.info('Tries again.', {
+      request,
+      service,
+      ...attemptFields(attempt),
+    });
   }
 
-  /** A request could be repeated, but too many others were. */
+  /** Records a retry that the service's retry budget did not allow. */
   recordRetryBudgetExhausted(
     request: string,
     service: string,
     detail: string,
   ): void {
-    this.log.info('Repeats no more.', {request, service, detail});
+    this.log.info('The retry budget is exhausted; not retrying.', {
+      request,
+      service,
+      detail,
+    });
   }
 
   recordFailure(request: string, service: string, attempt: Attempt): void {
-    this.log.info('Failed.', {request, service, ...rounded(attempt)});
+    this.log.info('Failed.', {request, service, ...attemptFields(attempt)});
   }
 }
 
-function rounded({instance, tookMs, detail}: Attempt) {
+function attemptFields({instance, tookMs, detail}: Attempt) {
   return {instance, took: Math.round(tookMs), detail};
 }
 
--- a/src/services/gateway/node/session_context.ts
+++ b/src/services/gateway/node/session_context.ts
@@ -24,58 +24,58 @@
 import type {RequestTelemetry} from './request_telemetry';
 import type {StatementRunner} from './statement_runner';
 
-/** What the parts of one session share. */
+/** The state and services that the parts of one session share. */
 export interface SessionContext {
   readonly caller: CallerName;
-  /** Whose connections to members its work uses. */
+  /** The user whose member connections the session uses. */
   readonly user: MemberUser;
   readonly sessionState: GatewaySessionState;
   readonly clock: Clock;
   readonly leases: LeaseChecks;
-  /** How much accounts may ask. */
+  /** Operation limits of the accounts. */
   readonly limits: OperationLimits;
   readonly telemetry: RequestTelemetry;
   readonly classes: ClassAdmission;
   readonly signal: AbortSignal;
-  /** Aborted once nobody waits for what the session asked. */
+  /** Aborted when nobody waits for the session's replies any more. */
   readonly callerGone: AbortSignal;
-  /** How long its caller waited to be greeted; 0 after its first answer. */
+  /** How long the caller's startup took; 0 after the first reply. */
   startupWaitMs(): number;
-  /** The route in force for the next transaction; undefined once dropped. */
+  /** The current route for the next transaction; undefined once dropped. */
   route(): DatabaseRoute | undefined;
   dispatcherOf(service: string): ServiceDispatcher;
-  /** Who runs work of a service: this instance, or a pooler for it. */
+  /** Runs statements of a service, on this instance or through a pooler. */
   runnerOf(service: string): StatementRunner;
 }
 
-/** One request, or one transaction, as far as a place for it matters. */
+/** The properties of a statement or transaction that decide its checkout. */
 export interface CheckoutOptions {
   readonly requestId: string;
   readonly route: DatabaseRoute;
   readonly needsPrimary: boolean;
   readonly isTransaction: boolean;
-  /** When its first byte was here, or that of its transaction. */
-  readonly since: number;
+  /** When the request arrived, or its transaction began. */
+  readonly receivedAt: number;
   readonly deadline: number;
-  /** How long it waited for places before, in milliseconds. */
+  /** Time spent on earlier checkouts of the same request, in milliseconds. */
   readonly waitedMs: number;
-  readonly passed: ReadonlySet<string>;
+  readonly triedInstances: ReadonlySet<string>;
 }
 
-/** Waits for a connection to a member that may serve a wish. */
+/** Waits for a connection to a member that can serve the request. */
 export function* checkOutConnection(
   context: SessionContext,
-  wish: CheckoutOptions,
+  options: CheckoutOptions,
 ): Task<Result<CheckedOutConnection, CheckoutRefusal>> {
   const {caller, clock, telemetry, classes} = context;
-  const {route, requestId} = wish;
+  const {route, requestId} = options;
   const {service, priority} = route;
-  const kind = {service, priority, isTransaction: wish.isTransaction};
+  const kind = {service, priority, isTransaction: options.isTransaction};
   const dispatcher = context.dispatcherOf(service);
-  const asked = clock.now();
+  const queuedAt = clock.now();
   telemetry.recordQueued(route);
-  const outcome = yield* waitForPlace(context, wish, dispatcher);
-  const waitedMs = clock.now() - asked;
+  const outcome = yield* waitForCheckout(context, options, dispatcher);
+  const waitedMs = clock.now() - queuedAt;
   telemetry.recordDequeued(route, waitedMs, outcome.isOk);
   if (outcome.isErr) {
     telemetry.recordRefusal(
@@ -85,132 +85,140 @@
       waitedMs,
     );
   }
-  return outcome.map(grant => {
+  return outcome.map(checkout => {
     const onDidWork = (workMs: number) => classes.onDidWork(kind, workMs);
-    const place = {grant, waitedMs, service, onDidWork};
-    return new CheckedOutConnection(place, dispatcher, context);
+    const details = {checkout, waitedMs, service, onDidWork};
+    return new CheckedOutConnection(details, dispatcher, context);
   });
 }
 
 /**
- * Guard: a request whose caller left would keep its place in the queue, get a
- * connection and run for nobody, while others wait. It leaves the queue at
- * once, and a place that was given meanwhile goes back unused.
+ * Guard: cancels the queued request when its caller disconnects, and releases
+ * a connection granted meanwhile. It would otherwise occupy the queue and a
+ * connection although nobody reads the reply.
  */
-function* waitForPlace(
+function* waitForCheckout(
   context: SessionContext,
-  wish: CheckoutOptions,
+  options: CheckoutOptions,
   dispatcher: ServiceDispatcher,
 ): Task<Result<Checkout, CheckoutRefusal>> {
   const {callerGone} = context;
   const reply = new Reply<Result<Checkout, CheckoutRefusal>>();
-  const request = requestFor(context, wish, reply.give);
+  const request = makeCheckoutRequest(context, options, reply.give);
   dispatcher.post({kind: 'request', request});
-  const withdraw = () => dispatcher.post({kind: 'withdraw', request});
-  if (callerGone.aborted) withdraw();
-  else callerGone.addEventListener('abort', withdraw, {once: true});
+  const cancel = () => dispatcher.post({kind: 'withdraw', request});
+  if (callerGone.aborted) cancel();
+  else callerGone.addEventListener('abort', cancel, {once: true});
   const outcome = yield* reply.wait();
-  callerGone.removeEventListener('abort', withdraw);
+  callerGone.removeEventListener('abort', cancel);
   if (outcome.isErr || !callerGone.aborted) return outcome;
   const {pooled} = outcome.value;
   dispatcher.post({kind: 'return', returned: {pooled, isClean: true}});
-  const detail = 'given back its place';
+  const detail = 'released the connection unused';
   return err({reason: 'abandoned', retryAfterMs: 0, detail});
 }
 
-function requestFor(
+function makeCheckoutRequest(
   context: SessionContext,
-  wish: CheckoutOptions,
+  options: CheckoutOptions,
   settle: CheckoutRequest<Checkout>['settle'],
 ): CheckoutRequest<Checkout> {
   const {caller, user, sessionState, clock} = context;
-  const {route, deadline, passed, waitedMs, isTransaction} = wish;
+  const {route, deadline, triedInstances, waitedMs, isTransaction} = options;
   const now = clock.now();
-  const due = dueAt(context, wish);
+  const answerDueAt = computeDueAt(context, options);
   const {service, priority, objectiveMs} = route;
   const kind = {service, priority, isTransaction};
-  const terms = {
+  const inputs = {
     objectiveMs,
     statementTimeLeftMs: deadline - now,
-    dueInMs: due - now,
+    dueInMs: answerDueAt - now,
   };
-  const patienceMs = context.classes.waitBudgetMs(kind, {...terms, waitedMs});
+  const waitBudgetMs = context.classes.waitBudgetMs(kind, {
+    ...inputs,
+    waitedMs,
+  });
   return {
     caller,
     user,
     priority,
     deadline,
-    dueAt: due,
+    dueAt: answerDueAt,
     requestedAt: now,
-    waitBudgetMs: patienceMs,
-    requirement: needOf(context, wish),
+    waitBudgetMs,
+    requirement: requirementOf(context, options),
     values: sessionState.values,
-    triedInstances: passed,
+    triedInstances,
     settle,
   };
 }
 
 /**
- * When the caller expects its answer. The wait to be greeted counts: right
- * after a restart it is most of what the first answer takes.
+ * The time by which the route's latency objective wants a reply. Startup time
+ * counts: right after a restart it dominates the latency of the first reply.
  */
-function dueAt(
+function computeDueAt(
   context: SessionContext,
-  {route, since}: CheckoutOptions,
+  {route, receivedAt}: CheckoutOptions,
 ): number {
   if (route.objectiveMs === 0) return Infinity;
-  return since - context.startupWaitMs() + route.objectiveMs;
+  return receivedAt - context.startupWaitMs() + route.objectiveMs;
 }
 
-function needOf(
+function requirementOf(
   {sessionState}: SessionContext,
-  {route, needsPrimary, since}: CheckoutOptions,
+  {route, needsPrimary, receivedAt}: CheckoutOptions,
 ): CheckoutRequirement {
   if (needsPrimary) return {kind: 'primary'};
   const isSession = route.consistency === Consistency.CONSISTENCY_SESSION;
   return {
     kind: 'read',
-    minReadAt: since - route.stalenessMs,
+    minReadAt: receivedAt - route.stalenessMs,
     ownCommit: isSession ? sessionState.lastCommit : undefined,
   };
 }
 
-/** An operation, as far as the limit of its account matters. */
+/** The properties of an operation that its account's limit depends on. */
 export type RateLimitedOperation = Pick<
   CheckoutOptions,
-  'requestId' | 'route' | 'since'
+  'requestId' | 'route' | 'receivedAt'
 >;
 
 /**
- * Counts an operation of a session's account in; the refusal of one that is
- * beyond its limit. Asked before anything is queued for it: an account over its
- * limit costs others neither a place nor a connection.
+ * Charges an operation to the session's account; returns the refusal if the
+ * account is over its limit. Runs before anything is queued, so an account over
+ * its limit takes no connection from others.
  */
 export function* admitOperation(
   {caller, user, limits, telemetry, clock}: SessionContext,
-  {requestId, route, since}: RateLimitedOperation,
+  {requestId, route, receivedAt}: RateLimitedOperation,
 ): Task<StatementResult | undefined> {
-  const askedAt = clock.now();
-  const deadline = since + route.statementMs * MAX_WAIT_FRACTION;
+  const requestedAt = clock.now();
+  const deadline = receivedAt + route.statementMs * MAX_WAIT_FRACTION;
   const admitted = yield* limits.admit(user, deadline);
   if (admitted.isOk) return undefined;
   const name = {request: requestId, caller};
-  telemetry.recordRefusal(name, route, admitted.error, clock.now() - askedAt);
+  telemetry.recordRefusal(
+    name,
+    route,
+    admitted.error,
+    clock.now() - requestedAt,
+  );
   return refusalResult(admitted.error);
 }
 
 /**
- * A member that says so sends a statement on: it ran nothing, and is passed
- * over for a while. Such repeats end by themselves and need no budget.
+ * Failures with which a member redirects a statement without running it. The
+ * member is skipped for a while, so these retries end without a budget.
  */
-const REDIRECTIONS: ReadonlySet<string> = new Set<Failure>([
+const REDIRECT_FAILURES: ReadonlySet<string> = new Set<Failure>([
   'lagging',
   'not primary',
 ]);
 
 /**
- * Whether a request may be tried once more after a cause; where others have
- * used the budget of repeats up, that is logged.
+ * Whether a request may be retried after a failure. Logs a retry that the
+ * exhausted retry budget of its service does not allow.
  */
 export function canRetry(
   {classes, telemetry}: Pick<SessionContext, 'classes' | 'telemetry'>,
@@ -218,12 +226,12 @@
   service: string,
   cause: string,
 ): boolean {
-  if (REDIRECTIONS.has(cause) || classes.canRetry(service)) return true;
+  if (REDIRECT_FAILURES.has(cause) || classes.canRetry(service)) return true;
   telemetry.recordRetryBudgetExhausted(requestId, service, cause);
   return false;
 }
 
-/** What a caller is told where no place was to be had; nothing ran. */
+/** The reply to a request that got no connection and did not run. */
 export function refusalResult(refusal: CheckoutRefusal): StatementResult {
   const {reason, retryAfterMs} = refusal;
   return failure('busy', `${reason}, retry after ${retryAfterMs} ms`);
--- a/src/services/gateway/node/single_statement.ts
+++ b/src/services/gateway/node/single_statement.ts
@@ -26,35 +26,32 @@
   readonly statement: MemberStatement;
   readonly isWrite: boolean;
   readonly route: DatabaseRoute;
-  /** When its last byte was here. */
+  /** When its last byte arrived. */
   readonly since: number;
 }
 
-/** After a busy member, the same one may be asked again, in milliseconds. */
-const BUSY_PAUSE_MS = 15;
-/** A statement is tried on this many connections at most. */
-const MOST_TRIES = 6;
+const BUSY_RETRY_DELAY_MS = 15;
+const MAX_ATTEMPTS = 6;
 /**
- * A read whose answer does not come is sent to another member after so many
- * times the usual answer, and not before the least: longer than a full queue
- * of a member takes, so that only lost answers and silent members count.
+ * A read without a reply moves on to another member after this time, which is
+ * longer than a member needs to work off a full queue.
  */
-const LOST_ANSWER_MS = 350;
+const READ_TIMEOUT_MS = 350;
 
-/** How one try ended. */
-type Try =
+/** How one attempt ended. */
+type AttemptOutcome =
   | {readonly kind: 'final'; readonly result: StatementResult}
   | {
-      readonly kind: 'again';
+      readonly kind: 'retry';
       readonly detail: string;
-      readonly busy: boolean;
-      /** It may have run, so that nobody may say it did not. */
-      readonly mayHaveRun: boolean;
+      readonly isBusy: boolean;
+      /** The statement may have run and must not be reported as not run. */
+      readonly mightHaveRun: boolean;
     };
 
-type AgainTry = Extract<Try, {kind: 'again'}>;
+type RetryOutcome = Extract<AttemptOutcome, {kind: 'retry'}>;
 
-/** Runs one statement on a member that may serve it. */
+/** Runs one statement, with retries, on members that can serve it. */
 export function* runStatement(
   context: SessionContext,
   request: StatementRequest,
@@ -62,98 +59,135 @@
   const {route, since, requestId} = request;
   context.classes.onRequest(route.service);
   const deadline = since + route.statementMs;
-  const passed = new Set<string>();
-  let mayHaveRun = false;
+  const triedInstances = new Set<string>();
+  let mightHaveRun = false;
   let waitedMs = 0;
-  for (let tries = 1; ; tries++) {
-    const taken = yield* checkOutConnection(context, {
+  for (let attempts = 1; ; attempts++) {
+    const checkout = yield* checkOutConnection(context, {
       requestId,
       route,
       needsPrimary: needsPrimary(request),
       isTransaction: false,
-      since,
+      receivedAt: since,
       deadline,
       waitedMs,
-      passed,
+      triedInstances,
     });
-    if (taken.isErr) {
-      const refusal = refusalResult(taken.error);
-      return mayHaveRun ? failure('timeout', 'no answer in time') : refusal;
+    if (checkout.isErr) {
+      const refusal = refusalResult(checkout.error);
+      return mightHaveRun ? failure('timeout', 'no answer in time') : refusal;
     }
-    const turn = taken.value;
-    waitedMs += turn.waitedMs;
+    const connection = checkout.value;
+    waitedMs += connection.waitedMs;
     const startedAt = context.clock.now();
-    const outcome = yield* tryOn(context, turn, request, deadline);
+    const outcome = yield* attemptOn(context, connection, request, deadline);
     if (outcome.kind === 'final') return outcome.result;
-    passed.add(turn.instance);
+    triedInstances.add(connection.instance);
     const now = context.clock.now();
-    const {detail, busy} = outcome;
-    mayHaveRun ||= outcome.mayHaveRun;
-    const attempt = {instance: turn.instance, tookMs: now - startedAt, detail};
+    const {detail, isBusy} = outcome;
+    mightHaveRun ||= outcome.mightHaveRun;
+    const attempt = {
+      instance: connection.instance,
+      tookMs: now - startedAt,
+      detail,
+    };
     context.telemetry.recordRetry(requestId, route.service, attempt);
-    const isLast = tries >= MOST_TRIES || now >= deadline;
+    const isLast = attempts >= MAX_ATTEMPTS || now >= deadline;
     if (isLast || !canRetry(context, requestId, route.service, detail)) {
-      if (mayHaveRun) return failure('timeout', detail);
-      return failure('busy', `${detail}, retry after ${BUSY_PAUSE_MS * 4} ms`);
+      if (mightHaveRun) return failure('timeout', detail);
+      return failure(
+        'busy',
+        `${detail}, retry after ${BUSY_RETRY_DELAY_MS * 4} ms`,
+      );
     }
-    if (busy) yield* pause(BUSY_PAUSE_MS * tries);
+    if (isBusy) yield* pause(BUSY_RETRY_DELAY_MS * attempts);
   }
 }
 
-function again(detail: string, over: Partial<AgainTry> = {}): Try {
-  return {kind: 'again', detail, busy: false, mayHaveRun: false, ...over};
+function retryOutcome(
+  detail: string,
+  overrides: Partial<RetryOutcome> = {},
+): AttemptOutcome {
+  return {
+    kind: 'retry',
+    detail,
+    isBusy: false,
+    mightHaveRun: false,
+    ...overrides,
+  };
 }
 
-/** Whether a statement is one for the primary only. */
+/** Whether only the primary may serve the statement. */
 export function needsPrimary({isWrite, route}: StatementRequest): boolean {
   return isWrite || route.consistency === Consistency.CONSISTENCY_PRIMARY;
 }
 
-function* tryOn(
+function* attemptOn(
   context: SessionContext,
-  turn: CheckedOutConnection,
+  connection: CheckedOutConnection,
   request: StatementRequest,
   deadline: number,
-): Task<Try> {
+): Task<AttemptOutcome> {
   const {clock} = context;
-  const ready = yield* prepareConnection(context, turn, request.statement);
-  if (ready.kind === 'unknown name') {
-    turn.release(false);
+  const preparation = yield* prepareConnection(
+    context,
+    connection,
+    request.statement,
+  );
+  if (preparation.kind === 'unknown name') {
+    connection.release(false);
     return {kind: 'final', result: failure('unknown name', 'not prepared')};
   }
-  if (ready.kind === 'connection failed') {
-    turn.release(false);
-    return again('own statements failed');
+  if (preparation.kind === 'connection failed') {
+    connection.release(false);
+    return retryOutcome('own statements failed');
   }
-  const {statement} = ready;
-  const askedAt = clock.now();
+  const {statement} = preparation;
+  const sentAt = clock.now();
   if (request.isWrite) {
-    return yield* write(context, turn, request, statement, deadline - askedAt);
+    return yield* write(
+      context,
+      connection,
+      request,
+      statement,
+      deadline - sentAt,
+    );
   }
-  const timeMs = deadline - askedAt;
-  return yield* read(context, turn, request, statement, askedAt, timeMs);
+  const timeoutMs = deadline - sentAt;
+  return yield* read(
+    context,
+    connection,
+    request,
+    statement,
+    sentAt,
+    timeoutMs,
+  );
 }
 
 /**
- * Sends a write once. After it went out, only the member's word that it did
- * not run allows another try: else it could take effect twice.
+ * Sends a write once. It is retried only if the member replies that it did not
+ * run, since it could otherwise take effect twice.
  */
 function* write(
   context: SessionContext,
-  turn: CheckedOutConnection,
+  connection: CheckedOutConnection,
   request: StatementRequest,
   statement: TargetStatement,
-  timeMs: number,
-): Task<Try> {
+  timeoutMs: number,
+): Task<AttemptOutcome> {
   const {requestId, route} = request;
-  const askedAt = context.clock.now();
-  const [reply] = yield* turn.send([{requestId, statement}], timeMs);
-  turn.reportObservation(askedAt, reply!, isDone(reply) ? 'leads' : undefined);
-  turn.release(isOutsideTransaction(reply));
+  const sentAt = context.clock.now();
+  const [reply] = yield* connection.send([{requestId, statement}], timeoutMs);
+  connection.reportObservation(
+    sentAt,
+    reply!,
+    isDone(reply) ? 'leads' : undefined,
+  );
+  connection.release(isOutsideTransaction(reply));
   if (reply?.kind !== 'answer') {
     const attempt = {
-      instance: turn.instance,
-      tookMs: context.clock.now() - askedAt,
+      instance: connection.instance,
+      tookMs: context.clock.now() - sentAt,
       detail: `no answer to a write: ${reply?.reason}`,
     };
     context.telemetry.recordFailure(requestId, route.service, attempt);
@@ -162,27 +196,32 @@
   }
   const {result, position} = reply;
   if (result.kind === 'done') {
-    const left = timeMs - (context.clock.now() - askedAt);
-    if (!(yield* turn.confirmPrimary(left, reply))) {
-      return {kind: 'final', result: unprovenCommit(context, request, turn)};
+    const remainingMs = timeoutMs - (context.clock.now() - sentAt);
+    if (!(yield* connection.confirmPrimary(remainingMs, reply))) {
+      return {
+        kind: 'final',
+        result: unverifiedCommit(context, request, connection),
+      };
     }
     context.sessionState.recordCommit(position, context.clock.now());
     return {kind: 'final', result};
   }
   if (!didNotRun(result.failure)) return {kind: 'final', result};
-  return again(result.failure, {busy: result.failure !== 'not primary'});
+  return retryOutcome(result.failure, {
+    isBusy: result.failure !== 'not primary',
+  });
 }
 
 /**
- * What a caller is told whose write was committed by a member that may have
- * been replaced: it may be rolled back, and nobody may say that it is kept.
+ * The reply to a write committed on a member that may have been replaced. The
+ * write may be rolled back, so it is not acknowledged.
  */
-function unprovenCommit(
+function unverifiedCommit(
   {telemetry}: SessionContext,
   {requestId, route}: StatementRequest,
   {instance}: CheckedOutConnection,
 ): StatementResult {
-  const detail = 'committed without a lease on the lead';
+  const detail = 'committed without a lease on the primary';
   telemetry.recordFailure(requestId, route.service, {
     instance,
     tookMs: 0,
@@ -192,52 +231,55 @@
 }
 
 /**
- * Sends a read. Where no position says what is new enough, the member says
- * behind the read that it leads: a begin is refused by one that does not, and
- * takes no slot. One that was replaced may still say so, so the lease on its
- * lead is looked at after that answer. An old primary would else answer with
- * old data.
+ * Sends a read. Without a minimum position, a read-write begin follows it,
+ * which takes no slot and which only the primary accepts. A replaced primary may
+ * still accept it and return stale data, so the lease is checked afterwards.
  */
 function* read(
   {clock}: SessionContext,
-  turn: CheckedOutConnection,
+  connection: CheckedOutConnection,
   request: StatementRequest,
   statement: TargetStatement,
-  askedAt: number,
-  timeMs: number,
-): Task<Try> {
+  sentAt: number,
+  timeoutMs: number,
+): Task<AttemptOutcome> {
   const {requestId} = request;
-  const {minPosition} = turn.grant;
+  const {minPosition} = connection.checkout;
   const calls: TargetCall[] = [
     {requestId, statement, ...(minPosition && {minPosition})},
   ];
-  if (!minPosition) calls.push(...LEAD_PROOF);
-  const [reply, proof, ending] = yield* turn.send(
+  if (!minPosition) calls.push(...PRIMARY_PROBE);
+  const [reply, probeReply, rollbackReply] = yield* connection.send(
     calls,
-    Math.min(timeMs, LOST_ANSWER_MS),
+    Math.min(timeoutMs, READ_TIMEOUT_MS),
+  );
+  const lastReply = minPosition ? reply : rollbackReply;
+  const isPrimary = isDone(probeReply);
+  connection.reportObservation(
+    sentAt,
+    probeReply ?? reply!,
+    isPrimary ? 'leads' : undefined,
   );
-  const last = minPosition ? reply : ending;
-  const leads = isDone(proof);
-  turn.reportObservation(askedAt, proof ?? reply!, leads ? 'leads' : undefined);
-  turn.release(isOutsideTransaction(last));
+  connection.release(isOutsideTransaction(lastReply));
   if (reply?.kind !== 'answer') {
-    return again(`lost: ${reply?.reason}`, {mayHaveRun: true});
+    return retryOutcome(`lost: ${reply?.reason}`, {mightHaveRun: true});
   }
   const {result} = reply;
   if (result.kind === 'done') {
     if (minPosition) return {kind: 'final', result};
-    const left = timeMs - (clock.now() - askedAt);
-    const proved = leads && (yield* turn.confirmPrimary(left, proof));
-    if (proved) return {kind: 'final', result};
-    return again('the lead is not proved', {mayHaveRun: true});
+    const remainingMs = timeoutMs - (clock.now() - sentAt);
+    const isVerified =
+      isPrimary && (yield* connection.confirmPrimary(remainingMs, probeReply));
+    if (isVerified) return {kind: 'final', result};
+    return retryOutcome('the lead is not proved', {mightHaveRun: true});
   }
-  return again(result.failure, {
-    busy: result.failure === 'busy',
-    mayHaveRun: !didNotRun(result.failure),
+  return retryOutcome(result.failure, {
+    isBusy: result.failure === 'busy',
+    mightHaveRun: !didNotRun(result.failure),
   });
 }
 
-const LEAD_PROOF: readonly TargetCall[] = [
+const PRIMARY_PROBE: readonly TargetCall[] = [
   {requestId: undefined, statement: {kind: 'begin', readOnly: false}},
   {requestId: undefined, statement: {kind: 'rollback'}},
 ];
--- a/src/services/gateway/node/statement_preparation.ts
+++ b/src/services/gateway/node/statement_preparation.ts
@@ -9,34 +9,34 @@
 /** A statement that a member runs. */
 export type MemberStatement = Statement & {kind: 'read' | 'write' | 'execute'};
 
-/** A statement in the words of one connection, or why there is none. */
+/** A statement with the names of one connection, or why there is none. */
 export type PreparationResult =
   | {readonly kind: 'ready'; readonly statement: TargetStatement}
   | {readonly kind: 'unknown name'}
   | {readonly kind: 'connection failed'};
 
-/** Own statements before a request take no slot and are answered quickly. */
-const PRELUDE_MS = 400;
+/** Short, since the proxy's own statements take no slot at the member. */
+const PRELUDE_TIMEOUT_MS = 400;
 
 /**
- * Gives a connection the session's values and prepared statement, and waits
- * until it has them: sent along, a statement behind one that failed would run
- * with another session's values.
+ * Sets the session's values on a connection and prepares its statement there.
+ * Waits for the replies: a pipelined statement would run with another session's
+ * values if setting them had failed.
  */
 export function* prepareConnection(
   {sessionState}: SessionContext,
-  turn: CheckedOutConnection,
-  asked: MemberStatement,
+  connection: CheckedOutConnection,
+  requested: MemberStatement,
 ): Task<PreparationResult> {
-  const {pooled} = turn.grant;
+  const {pooled} = connection.checkout;
   const prelude = sessionState.statementsToRestore(pooled);
-  let statement: TargetStatement = asked;
-  if (asked.kind === 'execute') {
-    const execution = sessionState.resolveExecute(asked, pooled);
+  let statement: TargetStatement = requested;
+  if (requested.kind === 'execute') {
+    const execution = sessionState.resolveExecute(requested, pooled);
     if (!execution) return {kind: 'unknown name'};
     prelude.push(...execution.prelude);
     statement = execution.statement;
   }
-  const isReady = yield* turn.runPrelude(prelude, PRELUDE_MS);
-  return isReady ? {kind: 'ready', statement} : {kind: 'connection failed'};
+  const isPrepared = yield* connection.runPrelude(prelude, PRELUDE_TIMEOUT_MS);
+  return isPrepared ? {kind: 'ready', statement} : {kind: 'connection failed'};
 }
--- a/src/services/gateway/node/statement_runner.ts
+++ b/src/services/gateway/node/statement_runner.ts
@@ -9,7 +9,7 @@
 import {runStatement, type StatementRequest} from './single_statement';
 import type {MemberStatement} from './statement_preparation';
 
-/** A transaction that a session has open, wherever its connection is. */
+/** An open transaction of a session, on this instance or at a pooler. */
 export interface SessionTransaction {
   readonly state: TransactionState;
   run(
@@ -19,30 +19,30 @@
   ): Task<StatementOutcome>;
   commit(requestId: string): Task<StatementOutcome>;
   rollback(): Task<void>;
-  /** Undoes everything; the session's next statements fail. */
+  /** Rolls back; the session's next statements fail until it ends. */
   abort(reason: string): void;
 }
 
-/** Runs the work of sessions on the members of a service. */
+/** Runs statements of sessions on the members of a service. */
 export interface StatementRunner {
   /** Runs a statement outside a transaction. */
   runStatement(
     context: SessionContext,
     request: StatementRequest,
   ): Task<StatementResult>;
-  /** Opens a transaction that began at a time of the context's clock. */
+  /** Opens a transaction whose begin arrived at a time of the clock. */
   beginTransaction(
     context: SessionContext,
     route: DatabaseRoute,
-    readOnly: boolean,
-    since: number,
+    isReadOnly: boolean,
+    receivedAt: number,
   ): SessionTransaction;
 }
 
-/** Runs work on this instance's own connections. */
+/** Runs statements on this instance's own connections. */
 export const LOCAL_RUNNER: StatementRunner = {
   runStatement,
-  beginTransaction: (context, route, readOnly, since) => {
-    return new LocalTransaction(context, route, readOnly, since);
+  beginTransaction: (context, route, isReadOnly, receivedAt) => {
+    return new LocalTransaction(context, route, isReadOnly, receivedAt);
   },
 };
--- a/src/services/gateway/test/node/accounts.test.ts
+++ b/src/services/gateway/test/node/accounts.test.ts
@@ -19,10 +19,10 @@
 
 const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
-/** Short, for the tests in which the lease on the catalog runs out. */
-const BOUND_MS = 400;
+/** Short, for tests in which the catalog lease expires. */
+const REVOCATION_MS = 400;
 /** Longer than any test takes. */
-const LONG_BOUND_MS = 60_000;
+const LONG_REVOCATION_MS = 60_000;
 
 const clock = new MonotonicClock();
 
@@ -31,7 +31,7 @@
 let lease: CatalogLease;
 let limits: FakeLimits;
 
-/** An account whose keys are its name with a number behind. */
+/** Creates an account with the keys NAME-key-0, NAME-key-1 and so on. */
 function makeAccount(account: string, keys = 1): AccountEntry {
   const keyDigests = Array.from({length: keys}, (...[, at]) => {
     return digestOfKey(`${account}-key-${at}`);
@@ -39,30 +39,33 @@
   return {account, keyDigests, limit: undefined};
 }
 
-function makeAccounts(
+function makeAccountCatalog(
   version: number,
   accounts: AccountEntry[],
-  over: Partial<Catalog> = {},
+  overrides: Partial<Catalog> = {},
 ): Catalog {
   const routes = [
     makeRoute({keyed: true}),
     makeRoute({name: 'r2', database: 'open'}),
   ];
-  return makeCatalog(routes, {version, accounts, ...over});
+  return makeCatalog(routes, {version, accounts, ...overrides});
 }
 
-function confirm(): void {
+function confirmCatalog(): void {
   lease.extendLease(clock.now());
   gateway.gateway.notifyCatalogConfirmed();
 }
 
-function setUp(boundMs = LONG_BOUND_MS): void {
+function setUp(revocationMs = LONG_REVOCATION_MS): void {
   group = new FakeGroup(['a', 'b', 'c']);
-  const catalog = makeAccounts(1, [makeAccount('fern', 2), makeAccount('oak')]);
-  lease = new CatalogLease(boundMs, clock);
+  const catalog = makeAccountCatalog(1, [
+    makeAccount('fern', 2),
+    makeAccount('oak'),
+  ]);
+  lease = new CatalogLease(revocationMs, clock);
   limits = new FakeLimits();
   gateway = new TestGateway(group, catalog, {catalogLease: lease, limits});
-  confirm();
+  confirmCatalog();
 }
 
 beforeEach(() => setUp());
@@ -75,14 +78,14 @@
 };
 
 describe('a caller of a keyed database', () => {
-  it('runs under the name of its account, and its key goes nowhere', async () => {
+  it('runs as the user of its account, and its key is not logged', async () => {
     const caller = new TestCaller(gateway, 'db', 'fern-key-1');
     await caller.send(WRITE);
     expect(group.executed.map(({user}) => user)).toEqual(['fern']);
     expect(gateway.captured.lines.join()).not.toContain('fern-key');
   });
 
-  it('gives its key away nowhere else, where none is asked for', async () => {
+  it('keeps its key out of the log of a database without keys', async () => {
     const caller = new TestCaller(gateway, 'open', 'fern-key-1');
     gateway.group.member('a').isDown = true;
     gateway.group.member('b').isDown = true;
@@ -92,21 +95,20 @@
     expect(gateway.captured.lines.join()).not.toContain('fern-key');
   });
 
-  it('is turned away with a key that no account holds', () => {
+  it('is rejected with a key that no account holds', () => {
     expect(denialOf('db', 'nobody')).toBe('not authorized');
     expect(denialOf('db', '')).toBe('not authorized');
     expect(denialOf('open', 'nobody')).toBeUndefined();
   });
 
-  it('learns of databases only with a key', () => {
+  it('learns which databases exist only with a valid key', () => {
     expect(denialOf('no-such', 'nobody')).toBe('not authorized');
     expect(denialOf('no-such', 'oak-key-0')).toBe('unknown database');
   });
 
   it('never uses the connection of another account', async () => {
-    // A member holds each connection to the account that it was opened for.
-    // With one connection in all, the second account's work must wait for its
-    // own instead of running under the first one's name.
+    // Members authorize each connection for one account. Sharing one would run
+    // statements with another account's rights.
     group.maxConnections = 1;
     const fern = new TestCaller(gateway, 'db', 'fern-key-0');
     const oak = new TestCaller(gateway, 'db', 'oak-key-0');
@@ -122,11 +124,9 @@
 });
 
 describe('connections of accounts, by class', () => {
-  it('serve what they were opened for before they are closed', async () => {
-    // One connection to the primary, and two accounts that want it. While one
-    // is opened for a patient write, an urgent one comes. The new connection
-    // was closed unused for it, and opened once more afterwards: with many
-    // accounts in the queue the member did little but open connections.
+  it('serve the request they were opened for before they are closed', async () => {
+    // Closing an unused new connection in favour of a more urgent account makes
+    // a member do little but open connections when many accounts are queued.
     const routes = [
       makeRoute({keyed: true, priority: 2}),
       makeRoute({keyed: true, name: 'r2', database: 'urgent', priority: 0}),
@@ -134,20 +134,20 @@
     const services = [{service: 'books', connections: 1, confirmations: 1}];
     const accounts = [makeAccount('fern'), makeAccount('oak')];
     group = new FakeGroup(['a', 'b', 'c']);
-    lease = new CatalogLease(LONG_BOUND_MS, clock);
+    lease = new CatalogLease(LONG_REVOCATION_MS, clock);
     gateway = new TestGateway(
       group,
       makeCatalog(routes, {version: 1, accounts, services}),
       {catalogLease: lease},
     );
-    confirm();
+    confirmCatalog();
     await pause(20);
     const member = group.member('a');
     const before = member.openCount;
     member.openDelayMs = 40;
-    const patient = new TestCaller(gateway, 'db', 'fern-key-0');
+    const lowPriority = new TestCaller(gateway, 'db', 'fern-key-0');
     const urgent = new TestCaller(gateway, 'urgent', 'oak-key-0');
-    const first = patient.send(WRITE);
+    const first = lowPriority.send(WRITE);
     await pause(10);
     const second = urgent.send(WRITE);
     expect((await first).result.kind).toBe('done');
@@ -157,13 +157,12 @@
 });
 
 describe('a withdrawn key', () => {
-  it('ends the transaction that is under way with it', async () => {
-    // A caller has written inside a transaction when the operator withdraws
-    // its key. The commit must not go through, and the caller is told why.
+  it('aborts the open transaction of its caller', async () => {
+    // Otherwise a commit succeeds after the key was withdrawn.
     const caller = new TestCaller(gateway, 'db', 'oak-key-0');
     await caller.send(BEGIN);
     await caller.send(WRITE);
-    gateway.gateway.setCatalog(makeAccounts(2, [makeAccount('fern', 2)]));
+    gateway.gateway.setCatalog(makeAccountCatalog(2, [makeAccount('fern', 2)]));
     const reply = await caller.send(COMMIT);
     expect(reply).toMatchObject({
       state: 'idle',
@@ -175,68 +174,67 @@
     );
   });
 
-  it('closes the session that rests with it', async () => {
+  it('closes the idle session of its caller', async () => {
     const caller = new TestCaller(gateway, 'db', 'oak-key-0');
     await caller.send(READ);
-    gateway.gateway.setCatalog(makeAccounts(2, []));
+    gateway.gateway.setCatalog(makeAccountCatalog(2, []));
     await new Promise(resolve => setTimeout(resolve, 20));
     expect(caller.isClosed).toBe(true);
   });
 
-  it('serves no more although its account has another key', async () => {
+  it('is rejected although its account has another key', async () => {
     const caller = new TestCaller(gateway, 'db', 'fern-key-1');
     await caller.send(READ);
-    gateway.gateway.setCatalog(makeAccounts(2, [makeAccount('fern', 1)]));
+    gateway.gateway.setCatalog(makeAccountCatalog(2, [makeAccount('fern', 1)]));
     const reply = await caller.send(READ);
     expect(reply.result).toMatchObject({failure: 'not authorized'});
     expect(denialOf('db', 'fern-key-0')).toBeUndefined();
   });
 
-  it('serves again once it is given back, within a second', async () => {
-    gateway.gateway.setCatalog(makeAccounts(2, []));
+  it('is accepted again once it is restored', async () => {
+    gateway.gateway.setCatalog(makeAccountCatalog(2, []));
     expect(denialOf('db', 'oak-key-0')).toBe('unknown database');
-    gateway.gateway.setCatalog(makeAccounts(3, [makeAccount('oak')]));
+    gateway.gateway.setCatalog(makeAccountCatalog(3, [makeAccount('oak')]));
     const caller = new TestCaller(gateway, 'db', 'oak-key-0');
     expect((await caller.send(READ)).result.kind).toBe('done');
   });
 
-  it('that went to another account runs for neither in old sessions', async () => {
+  it('ends old sessions when it was moved to another account', async () => {
     const caller = new TestCaller(gateway, 'db', 'oak-key-0');
     await caller.send(READ);
     const moved = {...makeAccount('oak'), account: 'elm'};
-    gateway.gateway.setCatalog(makeAccounts(2, [moved]));
+    gateway.gateway.setCatalog(makeAccountCatalog(2, [moved]));
     const reply = await caller.send(READ);
     expect(reply.result).toMatchObject({failure: 'not authorized'});
   });
 });
 
-describe('an instance without word from control', () => {
+describe('an instance with an expired catalog lease', () => {
   beforeEach(() => {
     gateway.stop.abort();
-    setUp(BOUND_MS);
+    setUp(REVOCATION_MS);
   });
 
-  it('refuses keyed work as not run, and serves open databases', async () => {
-    // The instance is cut off. Whether keys were withdrawn meanwhile it cannot
-    // know, so once its lease on the catalog is over a key proves nothing.
+  it('refuses databases with keys and serves others', async () => {
+    // A disconnected instance cannot know whether a key was withdrawn.
     const keyed = new TestCaller(gateway, 'db', 'oak-key-0');
     const open = new TestCaller(gateway, 'open', 'anybody');
     await keyed.send(READ);
-    await new Promise(resolve => setTimeout(resolve, BOUND_MS));
+    await new Promise(resolve => setTimeout(resolve, REVOCATION_MS));
     const refused = await keyed.send(READ);
     expect(refused.result).toMatchObject({failure: 'busy'});
     expect(denialOf('db', 'oak-key-0')).toBe('unconfirmed');
     expect((await open.send(READ)).result.kind).toBe('done');
     expect(gateway.gateway.isReady).toBe(false);
-    confirm();
+    confirmCatalog();
     expect((await keyed.send(READ)).result.kind).toBe('done');
   });
 
-  it('commits nothing of a transaction that began before', async () => {
+  it('commits no transaction that began before', async () => {
     const caller = new TestCaller(gateway, 'db', 'oak-key-0');
     await caller.send(BEGIN);
     await caller.send(WRITE);
-    await new Promise(resolve => setTimeout(resolve, BOUND_MS));
+    await new Promise(resolve => setTimeout(resolve, REVOCATION_MS));
     const reply = await caller.send(COMMIT);
     expect(reply.result).toMatchObject({failure: 'aborted'});
     expect(group.callerStatements.some(run => run.includes('commit'))).toBe(
@@ -246,7 +244,7 @@
 });
 
 describe('the limit of an account', () => {
-  it('counts each statement, and a transaction once', async () => {
+  it('charges each statement, and a transaction once', async () => {
     const caller = new TestCaller(gateway, 'db', 'fern-key-0');
     await caller.send(READ);
     await caller.send(BEGIN);
@@ -259,7 +257,7 @@
     expect(limits.refunded).toEqual([]);
   });
 
-  it('refuses what is beyond it as not run, with a time', async () => {
+  it('refuses operations over it with a retry delay', async () => {
     const caller = new TestCaller(gateway, 'db', 'fern-key-0');
     limits.left = 0;
     const reply = await caller.send(WRITE);
@@ -269,9 +267,9 @@
     expect(gateway.captured.lines.join()).toContain('counter=p2');
   });
 
-  it('refuses a transaction with its first statement, whole', async () => {
-    // A transaction that is refused half way would have used a place for
-    // nothing; one that went on after its refusal would commit a part of it.
+  it('refuses a whole transaction with its first statement', async () => {
+    // A transaction refused later would waste its connection, and one that
+    // continued after a refusal would commit only a part of its writes.
     const caller = new TestCaller(gateway, 'db', 'fern-key-0');
     limits.left = 0;
     await caller.send(BEGIN);
@@ -285,7 +283,7 @@
     expect(limits.admitted).toEqual([]);
   });
 
-  it('refuses a commit alone, as not run', async () => {
+  it('refuses an empty transaction with its commit', async () => {
     const caller = new TestCaller(gateway, 'db', 'fern-key-0');
     limits.left = 0;
     await caller.send(BEGIN);
@@ -293,9 +291,8 @@
     expect(refused).toMatchObject({state: 'idle', result: {failure: 'busy'}});
   });
 
-  it('counts nothing that did not run', async () => {
-    // No member can be reached. Callers come again with what was refused, and
-    // would use up their limit with operations that never ran.
+  it('refunds operations that did not run', async () => {
+    // Otherwise retries while no member is reachable use the limit up.
     for (const instance of ['a', 'b', 'c']) {
       group.member(instance).isDown = true;
     }
--- a/src/services/gateway/test/node/fake_group.ts
+++ b/src/services/gateway/test/node/fake_group.ts
@@ -20,50 +20,48 @@
   TargetLink,
 } from '../../../target_link/common/target_link';
 
-/** What one statement did at a member. */
+/** A statement that ran at a member. */
 export interface ExecutedStatement {
   readonly instance: string;
   readonly link: number;
-  /** Whose connection it ran on. */
+  /** The user of the connection. */
   readonly user: string;
   readonly requestId: string;
   readonly text: string;
-  /** Session values on the connection while it ran. */
+  /** Session values on the connection at that time. */
   readonly values: string;
 }
 
-/** A member whose faults tests switch on and off. */
+/** A member with failures that tests switch on and off. */
 export class FakeMember {
   position: Position = {term: 1, offset: 10};
   isPrimary = false;
   isDown = false;
-  /** Takes statements and never answers. */
+  /** Receives statements and never replies. */
   isSilent = false;
-  /** Its answers take so long, in milliseconds. */
   answerDelayMs = 0;
-  /** Opening a connection takes so long, in milliseconds. */
   openDelayMs = 0;
-  /** Loses the answers of so many statements that it runs. */
+  /** Number of statements that run without a reply. */
   answersToLose = 0;
-  /** Answers so many statements that it has no room. */
+  /** Number of statements that are refused as busy. */
   busyAnswers = 0;
   connectionCount = 0;
-  /** Connections that were opened so far. */
+  /** Connections opened so far. */
   openCount = 0;
-  /** Connections that were closed so far. */
+  /** Connections closed so far. */
   closeCount = 0;
-  /** Connections to it that were closed, by their numbers. */
+  /** Ids of closed connections. */
   readonly closedLinks = new Set<number>();
 
   constructor(readonly instance: string) {}
 }
 
-/** A group of members in memory, behind the seam that sessions see. */
+/** A group of members in memory. */
 export class FakeGroup implements TargetConnector, StatusReader {
   readonly executed: ExecutedStatement[] = [];
   readonly members = new Map<string, FakeMember>();
   maxConnections = 16;
-  private links = 0;
+  private linkCount = 0;
 
   constructor(readonly instances: readonly string[]) {
     for (const instance of instances) {
@@ -76,32 +74,38 @@
     return this.members.get(instance)!;
   }
 
-  /** Lets another member lead the next term with what it has. */
+  /** Makes another member the primary of the next term, with its own log. */
   promote(instance: string): void {
     for (const member of this.members.values()) member.isPrimary = false;
-    const heir = this.member(instance);
-    heir.isPrimary = true;
-    heir.position = {...heir.position, term: heir.position.term + 1};
+    const successor = this.member(instance);
+    successor.isPrimary = true;
+    successor.position = {
+      ...successor.position,
+      term: successor.position.term + 1,
+    };
   }
 
   /**
-   * Lets another member lead the next term while the old primary is cut off
-   * from the group: it hears of nothing and goes on.
+   * Makes another member the primary of the next term while the old one is
+   * partitioned and still acts as primary.
    */
   promoteWithoutDemoting(instance: string): void {
-    const heir = this.member(instance);
-    heir.isPrimary = true;
-    heir.position = {...heir.position, term: heir.position.term + 1};
+    const successor = this.member(instance);
+    successor.isPrimary = true;
+    successor.position = {
+      ...successor.position,
+      term: successor.position.term + 1,
+    };
   }
 
-  /** What ran under callers' ids, as "member text". */
+  /** The statements of callers, as "member text". */
   get callerStatements(): string[] {
     return this.executed
       .filter(({requestId}) => requestId !== '-')
       .map(({instance, text}) => `${instance} ${text}`);
   }
 
-  /** Reads the row that a member answers to a question for its status. */
+  /** Reads the row of a member's reply to a status command. */
   read(result: StatementResult): MemberStatus | undefined {
     if (result.kind !== 'done') return undefined;
     const {isPrimary, position} = this.member(result.rows[0]!);
@@ -118,7 +122,7 @@
     if (member.connectionCount >= this.maxConnections) {
       return Promise.resolve(err('too many connections'));
     }
-    const link = new FakeLink(this, member, ++this.links, target.user);
+    const link = new FakeLink(this, member, ++this.linkCount, target.user);
     if (member.openDelayMs === 0) return Promise.resolve(ok(link));
     return new Promise(resolve => {
       setTimeout(() => resolve(ok(link)), member.openDelayMs);
@@ -132,10 +136,10 @@
   private readonly values = new Map<string, string>();
   private readonly prepared = new Map<string, string>();
   private readonly listeners: (() => void)[] = [];
-  private readonly waiting: ((reply: TargetReply) => void)[] = [];
+  private readonly pending: ((reply: TargetReply) => void)[] = [];
   private state: TransactionState = 'idle';
-  private wrote = false;
-  private plain = false;
+  private hasWritten = false;
+  private isReadWrite = false;
 
   constructor(
     private readonly group: FakeGroup,
@@ -162,7 +166,7 @@
     this.member.connectionCount--;
     this.member.closeCount++;
     this.member.closedLinks.add(this.id);
-    for (const settle of this.waiting) settle({kind: 'lost', reason: 'closed'});
+    for (const settle of this.pending) settle({kind: 'lost', reason: 'closed'});
     for (const listener of this.listeners) listener();
   }
 
@@ -172,11 +176,11 @@
       this.close();
       return Promise.resolve({kind: 'lost', reason: 'down'});
     }
-    if (member.isSilent) return this.never();
+    if (member.isSilent) return this.answerNever();
     const result = this.run(call);
     if (member.answersToLose > 0 && call.requestId !== undefined) {
       member.answersToLose--;
-      return this.never();
+      return this.answerNever();
     }
     const {state} = this;
     const {position} = member;
@@ -187,8 +191,8 @@
     });
   }
 
-  private never(): Promise<TargetReply> {
-    return new Promise(resolve => this.waiting.push(resolve));
+  private answerNever(): Promise<TargetReply> {
+    return new Promise(resolve => this.pending.push(resolve));
   }
 
   private run({
@@ -213,8 +217,8 @@
           return failure('not primary', '');
         }
         this.state = 'open';
-        this.plain = !statement.readOnly;
-        this.wrote = false;
+        this.isReadWrite = !statement.readOnly;
+        this.hasWritten = false;
         return DONE_LOCALLY;
       case 'rollback':
         this.state = 'idle';
@@ -241,7 +245,7 @@
     statement: TargetCall['statement'],
   ): StatementResult {
     const {member} = this;
-    if (this.state === 'open' && this.plain && !member.isPrimary) {
+    if (this.state === 'open' && this.isReadWrite && !member.isPrimary) {
       this.state = 'failed';
       return failure('not primary', '');
     }
@@ -249,19 +253,19 @@
     if (isExecution && !this.prepared.has(statement.name)) {
       return failure('unknown name', '');
     }
-    const writes =
+    const isWrite =
       statement.kind === 'write' ||
       (isExecution && this.prepared.get(statement.name) === 'write');
-    if (writes && !member.isPrimary) return failure('not primary', '');
-    this.note(requestId, statement);
+    if (isWrite && !member.isPrimary) return failure('not primary', '');
+    this.record(requestId, statement);
     if (statement.kind === 'commit') {
       this.state = 'idle';
-      if (this.wrote) this.advance();
-    } else if (writes) {
-      this.wrote = true;
+      if (this.hasWritten) this.advance();
+    } else if (isWrite) {
+      this.hasWritten = true;
       if (this.state === 'idle') this.advance();
     }
-    const rows = writes || statement.kind === 'commit' ? [] : ['row'];
+    const rows = isWrite || statement.kind === 'commit' ? [] : ['row'];
     return {kind: 'done', rows, signature: `signed ${requestId}`};
   }
 
@@ -270,7 +274,7 @@
     this.member.position = {term, offset: offset + 1};
   }
 
-  private note(requestId: string, statement: TargetCall['statement']): void {
+  private record(requestId: string, statement: TargetCall['statement']): void {
     const {instance} = this.member;
     const values = [...this.values].map(pair => pair.join('=')).join(' ');
     const item = 'item' in statement ? ` ${statement.item}` : '';
--- a/src/services/gateway/test/node/fake_limits.ts
+++ b/src/services/gateway/test/node/fake_limits.ts
@@ -5,7 +5,7 @@
   LimitRefusal,
 } from '../../../account/node/operation_limits';
 
-/** Lets an account run some operations, and notes what is asked of it. */
+/** Admits a number of operations and records the accounts charged. */
 export class FakeLimits implements OperationLimits {
   readonly admitted: string[] = [];
   readonly refunded: string[] = [];
@@ -28,5 +28,5 @@
   }
 }
 
-/** No account has a limit. */
+/** Limits that admit every operation. */
 export const NO_LIMITS = new FakeLimits();
--- a/src/services/gateway/test/node/gateway_lists.test.ts
+++ b/src/services/gateway/test/node/gateway_lists.test.ts
@@ -12,8 +12,8 @@
 
 const SERVICES = ['books', 'films', 'games'];
 
-let edge: TestGateway;
-let told: string[];
+let testGateway: TestGateway;
+let updates: string[];
 let post: ReturnType<typeof vi.spyOn>;
 
 const makePoolers = (service: string, instances: readonly string[]) => {
@@ -25,7 +25,7 @@
   }));
 };
 
-/** The members of all services, under names of their own. */
+/** The members of all services, with distinct names. */
 function allMembers(): Member[] {
   const group = new FakeGroup(['a', 'b', 'c']);
   return SERVICES.flatMap(service => {
@@ -36,13 +36,13 @@
 }
 
 beforeEach(() => {
-  told = [];
+  updates = [];
   post = vi
     .spyOn(ServiceDispatcher.prototype, 'post')
     .mockImplementation((message: DispatcherMessage) => {
       if (message.kind !== 'members') return true;
       const services = new Set(message.members.map(({service}) => service));
-      told.push([...services].join());
+      updates.push([...services].join());
       return true;
     });
   const services = SERVICES.map(service => ({
@@ -51,44 +51,43 @@
     confirmations: 1,
   }));
   const catalog = makeCatalog([makeRoute()], {services});
-  edge = new TestGateway(new FakeGroup(['a', 'b', 'c']), catalog);
-  edge.gateway.setMembers({members: allMembers(), proxyCount: 100});
-  told = [];
+  testGateway = new TestGateway(new FakeGroup(['a', 'b', 'c']), catalog);
+  testGateway.gateway.setMembers({members: allMembers(), proxyCount: 100});
+  updates = [];
 });
 
 afterEach(() => {
-  edge.stop.abort();
+  testGateway.stop.abort();
   post.mockRestore();
 });
 
-it('tells of members only where those of a service changed', () => {
-  // While the proxies of a fleet start, its members announce themselves and
-  // poolers are named: each change, told to all services with all members,
-  // costs each proxy their number squared.
+it('sends members only to services whose members changed', () => {
+  // While a fleet starts, members and poolers change all the time. Sending every
+  // change to all services makes the cost quadratic in the number of services.
   const members = allMembers();
-  edge.gateway.setMembers({members, proxyCount: 100});
-  expect(told).toEqual([]);
+  testGateway.gateway.setMembers({members, proxyCount: 100});
+  expect(updates).toEqual([]);
   members[4] = {...members[4]!, draining: true};
-  edge.gateway.setMembers({members, proxyCount: 100});
-  expect(told).toEqual(['films']);
+  testGateway.gateway.setMembers({members, proxyCount: 100});
+  expect(updates).toEqual(['films']);
 });
 
-it('tells of poolers only where those of a service changed', () => {
+it('sends pooler changes only to the services concerned', () => {
   const own: PoolerEntry[] = [
     ...makePoolers('books', ['p1', 'p2']),
     ...makePoolers('films', ['p1', 'p2']),
   ];
-  edge.gateway.setPoolers({poolers: own});
-  expect(told).toEqual(['books', 'films']);
-  told = [];
+  testGateway.gateway.setPoolers({poolers: own});
+  expect(updates).toEqual(['books', 'films']);
+  updates = [];
   const changed = [...own.slice(0, 3), ...makePoolers('films', ['p3'])];
-  edge.gateway.setPoolers({poolers: changed});
-  expect(told).toEqual(['films']);
+  testGateway.gateway.setPoolers({poolers: changed});
+  expect(updates).toEqual(['films']);
 });
 
-it('tells of the number of proxies only where these share connections', () => {
-  edge.gateway.setPoolers({poolers: makePoolers('books', ['p1', 'p2'])});
-  told = [];
-  edge.gateway.setMembers({members: allMembers(), proxyCount: 101});
-  expect(told).toEqual(['films', 'games']);
+it('sends the proxy count only to services without poolers', () => {
+  testGateway.gateway.setPoolers({poolers: makePoolers('books', ['p1', 'p2'])});
+  updates = [];
+  testGateway.gateway.setMembers({members: allMembers(), proxyCount: 101});
+  expect(updates).toEqual(['films', 'games']);
 });
--- a/src/services/gateway/test/node/gateway_session.test.ts
+++ b/src/services/gateway/test/node/gateway_session.test.ts
@@ -20,14 +20,14 @@
 
 let gateway: TestGateway;
 
-function setUp(route = makeRoute(), over = {}) {
+function setUp(route = makeRoute(), overrides = {}) {
   const group = new FakeGroup(['a', 'b', 'c']);
-  gateway = new TestGateway(group, makeCatalog([route], over));
+  gateway = new TestGateway(group, makeCatalog([route], overrides));
   return {group, caller: new TestCaller(gateway, 'db')};
 }
 
-/** A session at a gateway whose leases only the test renews. */
-function setUpLeased(leases: PrimaryLeases, route = makeRoute()) {
+/** Creates a session at a gateway whose leases only the test renews. */
+function setUpWithLeases(leases: PrimaryLeases, route = makeRoute()) {
   const group = new FakeGroup(['a', 'b', 'c']);
   gateway = new TestGateway(group, makeCatalog([route]), {leases});
   leases.onAssignments([makeAssignment('a', 1)]);
@@ -41,7 +41,7 @@
 afterEach(() => gateway.stop.abort());
 
 describe('a session', () => {
-  it('gets its member signature for reads and writes', async () => {
+  it('gets the signature of its member for reads and writes', async () => {
     const {caller} = setUp();
     const written = await caller.send(WRITE);
     expect(written.result).toMatchObject({signature: 'signed q1'});
@@ -49,7 +49,7 @@
     expect(read.result).toMatchObject({rows: ['row'], signature: 'signed q2'});
   });
 
-  it('keeps a transaction on one connection, to its end', async () => {
+  it('keeps a transaction on one connection until its end', async () => {
     const {group, caller} = setUp();
     await caller.send(BEGIN);
     await caller.send(WRITE);
@@ -61,16 +61,15 @@
     expect(new Set(links).size).toBe(1);
   });
 
-  it('sends a commit of nothing to a member, whose signature counts', async () => {
+  it('sends an empty commit to a member, for its signature', async () => {
     const {caller} = setUp();
     await caller.send(BEGIN);
     const done = await caller.send(COMMIT);
     expect(done.result).toMatchObject({signature: 'signed q2'});
   });
 
-  it('leaves no values of another session on a shared connection', async () => {
-    // Two callers share one connection. The second one must not run with the
-    // value that the first one set, and the first one gets its own back.
+  it('clears values of another session on a shared connection', async () => {
+    // Otherwise a session runs with values that another session set.
     const {group, caller} = setUp();
     group.maxConnections = 1;
     const other = new TestCaller(gateway, 'db');
@@ -82,7 +81,7 @@
     expect(values).toEqual(['zone=1', '', 'zone=1']);
   });
 
-  it('keeps prepared names apart that two sessions both use', async () => {
+  it('separates prepared statements of the same name', async () => {
     const {group, caller} = setUp();
     const other = new TestCaller(gateway, 'db');
     const prepare = {kind: 'prepare', name: 's1', shape: 'q'} as const;
@@ -96,9 +95,8 @@
     expect(group.member('a').position.offset).toBe(11);
   });
 
-  it('undoes what a caller leaves open', async () => {
-    // A caller writes in a transaction and vanishes. Its connection must not
-    // go to the next caller with the transaction still open.
+  it('rolls back the open transaction of a disconnected caller', async () => {
+    // Otherwise the next caller gets a connection with an open transaction.
     const {group, caller} = setUp();
     await caller.send(BEGIN);
     await caller.send(WRITE);
@@ -110,7 +108,7 @@
     expect(second!.link).not.toBe(first!.link);
   });
 
-  it('ends a transaction that rests too long, as undone', async () => {
+  it('rolls back a transaction that is idle for too long', async () => {
     const {caller} = setUp(makeRoute(), {transactionIdleMs: 30});
     await caller.send(BEGIN);
     await caller.send(WRITE);
@@ -123,10 +121,9 @@
 });
 
 describe('a read that must see every commit', () => {
-  it('is not answered by a primary that was replaced meanwhile', async () => {
-    // The primary is replaced and this proxy hears nothing of it. The old one
-    // still answers plain reads, without what was committed since. The proof
-    // behind the read fails there, so the caller gets the new primary's data.
+  it('is not served by a primary that was replaced', async () => {
+    // The proxy does not know of the promotion, and the old primary still
+    // answers reads with stale data. The begin behind the read detects it.
     const {group, caller} = setUp(makeRoute(PRIMARY));
     await caller.send(READ);
     group.promote('b');
@@ -139,8 +136,8 @@
   });
 });
 
-describe('a read within an age', () => {
-  it('goes to a replica that is new enough', async () => {
+describe('a read with a maximum age', () => {
+  it('is served by a replica that is recent enough', async () => {
     const {group, caller} = setUp();
     for (const instance of ['b', 'c']) {
       group.member(instance).position = {term: 1, offset: 10};
@@ -151,8 +148,7 @@
   });
 
   it("never misses the session's own commit", async () => {
-    // Replicas receive nothing. The session writes and reads at once: each
-    // replica says that it lacks the position, and the primary answers.
+    // The replicas lag and redirect the read, and the primary serves it.
     const {group, caller} = setUp();
     await caller.send(WRITE);
     const read = await caller.send(READ);
@@ -160,7 +156,7 @@
     expect(group.callerStatements.at(-1)).toBe('a read a');
   });
 
-  it('begins at a replica with the position too', async () => {
+  it('begins a transaction at a replica with the minimum position', async () => {
     const {group, caller} = setUp();
     await caller.send(READ);
     await caller.send(BEGIN_READ);
@@ -169,7 +165,7 @@
     expect(group.callerStatements.at(-1)).toMatch(/^[bc] commit$/);
   });
 
-  it('is repeated elsewhere when its answer is lost', async () => {
+  it('is retried on another member when its reply is lost', async () => {
     const {group, caller} = setUp();
     await caller.send(READ);
     for (const instance of ['b', 'c']) group.member(instance).isSilent = true;
@@ -178,11 +174,10 @@
   });
 });
 
-describe('a read whose caller left', () => {
-  it('holds no connection to a member that is silent', async () => {
-    // The member hangs, and the caller gives up and leaves. The limit of the
-    // read's time ended with the session: the connection, one of a few that
-    // all instances share, was held until the member broke it.
+describe('a read whose caller disconnected', () => {
+  it('holds no connection to a silent member', async () => {
+    // If the timeout ended with the session, a member that hangs would hold the
+    // connection for good.
     const {group, caller} = setUp(makeRoute({...PRIMARY, statementMs: 100}));
     await caller.send(READ);
     group.member('a').isSilent = true;
@@ -195,9 +190,8 @@
 });
 
 describe('a write', () => {
-  it('is not repeated when its answer is lost', async () => {
-    // The member commits and its answer is lost. Whether the write took effect
-    // is unknown: sending it again could double it.
+  it('is not retried when its reply is lost', async () => {
+    // The write may have taken effect, and a retry could apply it twice.
     const {group, caller} = setUp(makeRoute({statementMs: 100}));
     group.member('a').answersToLose = 1;
     const written = await caller.send(WRITE);
@@ -205,9 +199,9 @@
     expect(group.callerStatements).toEqual(['a write a']);
   });
 
-  it('gives its connection up in time where its caller has left', async () => {
-    // A caller leaves while its write waits for a member that never answers.
-    // Without a bound the connection, one of a few, is held for good.
+  it('releases its connection in time after its caller disconnected', async () => {
+    // Without a timeout, a member that never replies holds the connection for
+    // good.
     const {group, caller} = setUp(makeRoute({statementMs: 100}));
     await caller.send(WRITE);
     group.member('a').answersToLose = 1;
@@ -222,7 +216,7 @@
     await vi.waitFor(isClosed, 1_000);
   });
 
-  it('is repeated when the member says that it did not run', async () => {
+  it('is retried when the member replies that it did not run', async () => {
     const {group, caller} = setUp();
     group.member('a').busyAnswers = 2;
     const written = await caller.send(WRITE);
@@ -230,9 +224,8 @@
     expect(group.callerStatements).toEqual(['a write a']);
   });
 
-  it('is refused at once, as not run, while no primary answers', async () => {
-    // The primary is gone and nobody leads. Waiting for the deadline would
-    // only use up the caller's time: it hears soon when to come back.
+  it('is refused at once while no primary is reachable', async () => {
+    // Waiting until the deadline would delay the caller's own retry.
     const {group, caller} = setUp();
     await caller.send(WRITE);
     group.member('a').isDown = true;
@@ -246,7 +239,7 @@
     expect(gateway.reports.at(-1)).toBe('a unreachable');
   });
 
-  it('goes on with the member that leads next', async () => {
+  it('is retried on the next primary', async () => {
     const {group, caller} = setUp();
     await caller.send(WRITE);
     group.promote('b');
@@ -260,7 +253,7 @@
 });
 
 describe('a transaction whose member is lost', () => {
-  it('is undone before its commit, and the caller is told so', async () => {
+  it('is rolled back before its commit and reported as aborted', async () => {
     const {group, caller} = setUp();
     await caller.send(BEGIN);
     await caller.send(WRITE);
@@ -275,8 +268,8 @@
   });
 
   it('has an unknown outcome once its commit was sent', async () => {
-    // The commit takes effect and its answer is lost. "Aborted" would be a
-    // promise that nothing is kept, and the caller would file twice.
+    // The commit may have taken effect. Reporting it as aborted would make the
+    // caller repeat the transaction.
     const {group, caller} = setUp(makeRoute({statementMs: 100}));
     await caller.send(BEGIN);
     await caller.send(WRITE);
@@ -289,11 +282,10 @@
   });
 });
 
-describe('a stop', () => {
-  it('serves the first request of a session that begins meanwhile', async () => {
-    // An instance is told to stop; for two more seconds callers are still sent
-    // to it. A caller connects and asks at once, and its connection was closed
-    // with the request on the way: it heard nothing, and had to guess.
+describe('draining', () => {
+  it('serves the first request of a session that begins then', async () => {
+    // New callers still arrive while an instance stops. Closing their session
+    // at once would lose a request that was already sent, without a reply.
     setUp();
     gateway.gateway.markNotReady();
     const early = new TestCaller(gateway, 'db');
@@ -307,9 +299,9 @@
     expect([early.isClosed, late.isClosed]).toEqual([true, true]);
   });
 
-  it('is not in the way of what follows a prepared statement', async () => {
-    // A caller prepares a statement and executes it at once. Closed with the
-    // answer to the first, it never heard of the second.
+  it('serves the execution that follows a prepare', async () => {
+    // Closing the session after the prepare would lose the execution, which the
+    // caller has already sent.
     const {caller} = setUp();
     gateway.gateway.drain();
     const prepare = {kind: 'prepare', name: 's', shape: 'q'} as const;
@@ -321,7 +313,7 @@
     expect(caller.isClosed).toBe(true);
   });
 
-  it('closes a session at rest, and one in a transaction after it', async () => {
+  it('closes idle sessions, and others after their transaction', async () => {
     const {caller} = setUp();
     const busy = new TestCaller(gateway, 'db');
     await caller.send(WRITE);
@@ -338,10 +330,9 @@
 });
 
 describe('a primary that was replaced', () => {
-  it('is not left for another without a word from control', async () => {
-    // A replica is promoted and says so before control does. Another proxy may
-    // still rely on the old primary, so a write here would be acknowledged
-    // beside its own. With control's word the write that waited goes through.
+  it('is not left before control assigns another one', async () => {
+    // Another proxy may hold a lease on the old primary, so a write on the new
+    // one could be acknowledged beside a write on the old one.
     const {group, caller} = setUp();
     await caller.send(WRITE);
     group.promote('b');
@@ -358,9 +349,8 @@
   });
 
   it('is not read from once its lease was returned', async () => {
-    // The old primary is cut off from control and its replicas, but not from
-    // this proxy. It accepts every statement. Another member leads, commits a
-    // booking, and the old one would show a boat that is gone.
+    // The old primary is partitioned from control and its replicas but not from
+    // this proxy, and would answer with stale data.
     const {group, caller} = setUp(makeRoute(PRIMARY));
     await caller.send(READ);
     gateway.setPrimary('');
@@ -372,13 +362,12 @@
     expect(group.callerStatements.at(-1)).toBe('b read a');
   });
 
-  it('acknowledges nothing once its lease ran out', async () => {
-    // This proxy was frozen, or control has no leader: nobody renews leases.
-    // Control may have ordered a promotion, and what the old primary commits
-    // may be rolled back. Saying that it is kept would lose a booking.
+  it('acknowledges nothing once its lease has expired', async () => {
+    // Control may have promoted another member, and what the old primary commits
+    // may be rolled back: an acknowledged write would be lost.
     const leases = new PrimaryLeases(new MonotonicClock());
     const route = makeRoute({...PRIMARY, statementMs: 300});
-    const {group, caller} = setUpLeased(leases, route);
+    const {group, caller} = setUpWithLeases(leases, route);
     const written = await caller.send(WRITE);
     expect(written.result).toMatchObject({failure: 'unknown outcome'});
     const read = await caller.send(READ);
@@ -386,11 +375,11 @@
     expect(group.callerStatements).toContain('a write a');
   });
 
-  it('answers what waited for a lease that ran out', async () => {
-    // Control elects a leader for longer than a lease lasts, and names the
-    // same lead again. What ran meanwhile is as good as before.
+  it('serves requests that waited for an expired lease', async () => {
+    // Electing a control leader can take longer than a lease lasts; then the
+    // same primary is confirmed again.
     const leases = new PrimaryLeases(new MonotonicClock());
-    const {caller} = setUpLeased(leases, makeRoute(PRIMARY));
+    const {caller} = setUpWithLeases(leases, makeRoute(PRIMARY));
     const written = caller.send(WRITE);
     await pause(100);
     renew(leases);
@@ -398,54 +387,51 @@
   });
 });
 
-describe('a proxy that lost control', () => {
-  // A part of the machines is cut off together with no instance of control.
-  // All members of a service are in reach. The leases of the proxies there ran
-  // out after 1.2 s, and they refused every service for as long as the cut
-  // lasted: 7 s of two thirds of the callers.
-  const LAPSED_MS = 1_700;
+describe('a proxy without a connection to control', () => {
+  // In a partition without a control instance leases expire. Without another
+  // way to verify primaries, all services would be refused until it ends.
+  const EXPIRY_WAIT_MS = 1_700;
 
-  function setUpLost() {
+  function setUpDisconnected() {
     const leases = new PrimaryLeases(new MonotonicClock());
-    const {group, caller} = setUpLeased(leases, makeRoute(PRIMARY));
+    const {group, caller} = setUpWithLeases(leases, makeRoute(PRIMARY));
     renew(leases);
     return {group, caller};
   }
 
-  it('serves what the members prove', async () => {
-    const {caller} = setUpLost();
-    await pause(LAPSED_MS);
+  it('serves requests if the members verify the primary', async () => {
+    const {caller} = setUpDisconnected();
+    await pause(EXPIRY_WAIT_MS);
     expect((await caller.send(READ)).result.kind).toBe('done');
     expect((await caller.send(WRITE)).result.kind).toBe('done');
   });
 
-  it('gives no answer of a primary that was replaced meanwhile', async () => {
-    const {group, caller} = setUpLost();
+  it('returns no data of a primary that was replaced', async () => {
+    const {group, caller} = setUpDisconnected();
     group.promoteWithoutDemoting('b');
-    await pause(LAPSED_MS);
+    await pause(EXPIRY_WAIT_MS);
     expect((await caller.send(READ)).result.kind).toBe('error');
   });
 
-  it('gives none while a member that may lead is silent', async () => {
-    const {group, caller} = setUpLost();
+  it('returns no data while a member that may be primary is silent', async () => {
+    const {group, caller} = setUpDisconnected();
     group.member('c').isSilent = true;
-    await pause(LAPSED_MS);
+    await pause(EXPIRY_WAIT_MS);
     expect((await caller.send(READ)).result.kind).toBe('error');
   });
 });
 
 describe('connections that several instances share', () => {
-  it('are taken by half beyond a share that suffices, at most', async () => {
-    // Six poolers share 30 connections to a primary. Those near it come first
-    // for each one that is free; with 15 each, two of them had all, and other
-    // regions' callers were refused while slots of the member were idle.
+  it('exceed a sufficient share by half at most', async () => {
+    // Instances close to the primary connect first. Without a bound they take
+    // all connections, and callers of other regions are refused.
     const {group} = setUp(makeRoute(PRIMARY), {
       services: [{service: 'books', connections: 32, confirmations: 1}],
     });
     group.maxConnections = 32;
     gateway.gateway.setMembers({members: membersOf(group), proxyCount: 6});
     const callers = [...Array(12)].map(() => new TestCaller(gateway, 'db'));
-    // Right after a start an instance takes less.
+    // An instance takes fewer connections right after its start.
     await pause(1_600);
     for (const caller of callers) {
       void caller.send(BEGIN);
@@ -455,10 +441,10 @@
     expect(group.member('a').connectionCount).toBe(7);
   });
 
-  it('are taken by half of a share right after a start', async () => {
-    // All instances lost power. Members count the connections of the dead for
-    // three seconds and have few to give. The first instances to be back took
-    // all of these for themselves, and the callers of the others were refused.
+  it('are limited to half of a share right after a start', async () => {
+    // After a power failure members still count the connections of dead
+    // instances. Without a bound the first instances to restart take the rest,
+    // and callers of the others are refused.
     const {group} = setUp(makeRoute(PRIMARY), {
       services: [{service: 'books', connections: 32, confirmations: 1}],
     });
--- a/src/services/gateway/test/node/repeats.test.ts
+++ b/src/services/gateway/test/node/repeats.test.ts
@@ -6,21 +6,20 @@
 import {canRetry} from '../../node/session_context';
 import {makeLog} from './session_fixture';
 
-describe('a repeat by class', () => {
-  it('needs no budget where a member sends it on', () => {
-    // Replicas lag for some seconds, and members are busy besides. Reads that a
-    // lagging one sends on were refused once the busy ones had used the budget
-    // up, though another member could serve them.
+describe('the retry budget', () => {
+  it('is not charged for a retry that a member redirects', () => {
+    // Otherwise reads redirected by a lagging replica are refused once busy
+    // members have used the budget up, although another member could serve them.
     const classes = new ClassAdmission(new ManualClock());
     classes.setRoutes([0, 2].map(priority => ({service: 'books', priority})));
     const {log, lines} = makeLog();
     const journal = new RequestTelemetry(log, new GatewayMeter());
-    const tryAgain = (cause: string) => {
+    const retry = (cause: string) => {
       return canRetry({classes, telemetry: journal}, 'q1', 'books', cause);
     };
-    while (tryAgain('busy'));
+    while (retry('busy'));
     expect(lines).toHaveLength(1);
-    expect(['lagging', 'not primary'].map(tryAgain)).toEqual([true, true]);
-    expect(tryAgain('no answer')).toBe(false);
+    expect(['lagging', 'not primary'].map(retry)).toEqual([true, true]);
+    expect(retry('no answer')).toBe(false);
   });
 });
--- a/src/services/gateway/test/node/session_fixture.ts
+++ b/src/services/gateway/test/node/session_fixture.ts
@@ -21,11 +21,12 @@
 import {LOCAL_RUNNER} from '../../node/statement_runner';
 import type {FakeGroup} from './fake_group';
 
-/** How long withdrawn keys may be in use at a test gateway, in ms. */
 const REVOCATION_MS = 60_000;
 
-/** A route of the service "books". */
-export function makeRoute(over: Partial<DatabaseRoute> = {}): DatabaseRoute {
+/** Creates a route of the service "books". */
+export function makeRoute(
+  overrides: Partial<DatabaseRoute> = {},
+): DatabaseRoute {
   return {
     name: 'r1',
     database: 'db',
@@ -36,14 +37,14 @@
     objectiveMs: 1_000,
     priority: 1,
     keyed: false,
-    ...over,
+    ...overrides,
   };
 }
 
-/** A catalog with one service. */
+/** Creates a catalog with one service. */
 export function makeCatalog(
   routes: readonly DatabaseRoute[],
-  over: Partial<Catalog> = {},
+  overrides: Partial<Catalog> = {},
 ): Catalog {
   return {
     version: 1,
@@ -51,11 +52,11 @@
     services: [{service: 'books', connections: 16, confirmations: 1}],
     transactionIdleMs: 0,
     accounts: [],
-    ...over,
+    ...overrides,
   };
 }
 
-/** The members of a group as control tells of them. */
+/** The members of a group as control sends them. */
 export function membersOf(group: FakeGroup): Member[] {
   return group.instances.map(instance => ({
     instance,
@@ -72,21 +73,24 @@
   }));
 }
 
-/** A log that keeps its lines. */
+/** Creates a log that keeps its lines. */
 export function makeLog() {
   const lines: string[] = [];
-  const note = (sentence: string, fields: object = {}) => {
+  const append = (sentence: string, fields: object = {}) => {
     lines.push(`${sentence} ${JSON.stringify(fields)}`);
   };
-  return {lines, log: {info: note, warn: note, error: note, debug: note}};
+  return {
+    lines,
+    log: {info: append, warn: append, error: append, debug: append},
+  };
 }
 
-/** One caller's session at a gateway. */
+/** A caller with a session at a gateway. */
 export class TestCaller {
-  private readonly waiting: ((reply: CallerReply) => void)[] = [];
-  private readonly ended = new AbortController();
+  private readonly pendingReplies: ((reply: CallerReply) => void)[] = [];
+  private readonly abortController = new AbortController();
   private readonly session;
-  private requests = 0;
+  private requestCount = 0;
   isClosed = false;
 
   constructor(
@@ -95,13 +99,13 @@
     credential = 'c',
   ) {
     const channel = {
-      answer: (reply: CallerReply) => this.waiting.shift()?.(reply),
+      answer: (reply: CallerReply) => this.pendingReplies.shift()?.(reply),
       close: () => {
         this.isClosed = true;
-        this.ended.abort();
+        this.abortController.abort();
       },
     };
-    const {signal} = this.ended;
+    const {signal} = this.abortController;
     const admitted = gateway.gateway.admit(database, credential);
     if (admitted.isErr) throw new Error(admitted.error);
     this.session = gateway.gateway.openSession(
@@ -112,31 +116,31 @@
     );
   }
 
-  /** Sends a statement and waits for its answer. */
+  /** Sends a statement and resolves with its reply. */
   send(statement: Statement): Promise<CallerReply> {
-    const requestId = `q${++this.requests}`;
+    const requestId = `q${++this.requestCount}`;
     const receivedAt = this.gateway.clock.now();
     this.session.post({
       kind: 'request',
       request: {requestId, statement},
       receivedAt,
     });
-    return new Promise(resolve => this.waiting.push(resolve));
+    return new Promise(resolve => this.pendingReplies.push(resolve));
   }
 
   leave(): void {
-    this.ended.abort();
+    this.abortController.abort();
   }
 }
 
-/** A gateway before a group of fake members. */
+/** A gateway in front of a group of fake members. */
 export class TestGateway {
   readonly clock = new SuspensionClock(new MonotonicClock(), () => Date.now());
   readonly stop = new AbortController();
   readonly gateway: Gateway;
   readonly captured = makeLog();
   readonly reports: string[] = [];
-  /** Needed where the catalog has accounts only; their tests bring their own. */
+  /** Unused unless the catalog has accounts. */
   readonly catalogLease = new CatalogLease(REVOCATION_MS, this.clock);
   readonly room = new ConnectionQuota(this.clock);
   readonly leases = makeRenewedLeases(this.clock, this.stop.signal);
@@ -173,16 +177,16 @@
     this.gateway.setCatalog(catalog);
   }
 
-  /** Tells the gateway anew who the members are, and which one leads. */
+  /** Sends the members to the gateway and assigns the current primary. */
   announceMembers(): void {
     this.gateway.setMembers({members: membersOf(this.group), proxyCount: 1});
-    const leading = membersOf(this.group).find(({role}) => {
+    const primary = membersOf(this.group).find(({role}) => {
       return role === ClaimedRole.CLAIMED_ROLE_PRIMARY;
     });
-    if (leading) this.setPrimary(leading.instance);
+    if (primary) this.setPrimary(primary.instance);
   }
 
-  /** Control names a lead, '' for none, and grants leases on it. */
+  /** Assigns a primary, '' for none, and grants leases on it. */
   setPrimary(instance: string): void {
     const lead = makeAssignment(
       instance,
