--- a/src/services/session/common/session_state.ts
+++ b/src/services/session/common/session_state.ts
@@ -11,45 +11,47 @@
   type Position,
 } from '../../position/common/position';
 
-/** Settings of a session that the proxy itself keeps. */
+/** Session variables that the proxy itself handles. */
 export const POSITION_VARIABLE = 'bulrush.position';
 export const CLASS_VARIABLE = 'bulrush.class';
 export const KEY_VARIABLE = 'bulrush.request_key';
-const OWN_PREFIX = 'bulrush.';
-const MOST_KEY_LENGTH = 200;
-const MOST_REPLAYED = 100;
+const PROXY_VARIABLE_PREFIX = 'bulrush.';
+const MAX_KEY_LENGTH = 200;
+const MAX_SETTINGS = 100;
 
-/** Why a value was not taken. */
+/** Why a value was rejected. */
 export interface VariableError {
   readonly message: string;
 }
 
-/** What a session has beyond its transactions. */
+/** The state of a session that outlives its transactions. */
 export class SessionState {
   requestClass = className('default');
-  /** The key of the next write, used up by it. */
+  /** Idempotency key of the next write, which consumes it. */
   writeKey: RequestKey | undefined;
-  private seen: Position | undefined;
-  /** SET statements to repeat on each connection, by parameter. */
+  private position: Position | undefined;
+  /** SET statements to apply to each connection, by parameter. */
   private readonly settings = new Map<string, string>();
 
-  /** What reads must see; undefined until it is known. */
+  /** The position that reads must see; undefined if there is none yet. */
   get requiredPosition(): Position | undefined {
-    return this.seen;
+    return this.position;
   }
 
-  /** A write of this session was acknowledged, or a position brought along. */
+  /** Records the position of an acknowledged write or a position variable. */
   recordPosition(position: Position): void {
-    this.seen = this.seen ? laterPosition(this.seen, position) : position;
+    this.position = this.position
+      ? laterPosition(this.position, position)
+      : position;
   }
 
-  /** The statements that give a connection this session's settings. */
+  /** The statements that apply this session's settings to a connection. */
   get settingStatements(): readonly string[] {
     return [...this.settings.values()];
   }
 
   static isProxyVariable(name: string): boolean {
-    return name.startsWith(OWN_PREFIX);
+    return name.startsWith(PROXY_VARIABLE_PREFIX);
   }
 
   /** Sets one of the proxy's own variables. */
@@ -70,11 +72,11 @@
     }
   }
 
-  /** What SHOW answers for one of the proxy's own variables. */
+  /** The value that SHOW returns for one of the proxy's own variables. */
   showProxyVariable(name: string): string | undefined {
     switch (name) {
       case POSITION_VARIABLE:
-        return this.seen ? formatPosition(this.seen) : '';
+        return this.position ? formatPosition(this.position) : '';
       case CLASS_VARIABLE:
         return this.requestClass;
       case KEY_VARIABLE:
@@ -84,16 +86,16 @@
     }
   }
 
-  /** Keeps a SET that a target accepted; undefined for a RESET. */
+  /** Saves a SET that a target accepted; undefined removes it (RESET). */
   saveSetting(name: string, statement: string | undefined): void {
     this.settings.delete(name);
     if (statement === undefined) return;
     this.settings.set(name, statement);
   }
 
-  /** Whether one more setting can be kept. */
+  /** Whether a setting can be saved within the bound. */
   canSaveSetting(name: string): boolean {
-    return this.settings.has(name) || this.settings.size < MOST_REPLAYED;
+    return this.settings.has(name) || this.settings.size < MAX_SETTINGS;
   }
 
   clearSettings(): void {
@@ -119,15 +121,15 @@
   }
 
   private setKey(value: string): VariableError | undefined {
-    if (value.length > MOST_KEY_LENGTH) {
-      return {message: `a request key has at most ${MOST_KEY_LENGTH} letters`};
+    if (value.length > MAX_KEY_LENGTH) {
+      return {message: `a request key has at most ${MAX_KEY_LENGTH} letters`};
     }
     this.writeKey = value === '' ? undefined : requestKey(value);
     return undefined;
   }
 }
 
-/** Reads `-c name=value` pairs of the startup parameter `options`. */
+/** Parses `-c name=value` pairs of the startup parameter `options`. */
 export function parseStartupOptions(options: string): [string, string][] {
   const matches = options.matchAll(/(?:-c\s*|--)([\w.]+)=(\S+)/g);
   return [...matches].map(([, name, value]) => [name!, value!]);
