--- a/src/services/statement/common/statement.ts
+++ b/src/services/statement/common/statement.ts
@@ -1,9 +1,9 @@
 import type {Position} from '../../position/common/position';
 
-/** What a prepared statement does: reads or writes one item. */
+/** Whether a prepared statement reads or writes its item. */
 export type PreparedAction = 'read' | 'write';
 
-/** What a session can ask for, whatever protocol it speaks. */
+/** A statement of a session, independent of the protocol. */
 export type Statement =
   | {readonly kind: 'begin'; readonly readOnly: boolean}
   | {readonly kind: 'commit'}
@@ -21,7 +21,7 @@
       readonly kind: 'execute';
       readonly name: string;
       readonly item: string;
-      /** Undefined where the prepared statement reads. */
+      /** Undefined if the prepared statement reads. */
       readonly data: string | undefined;
     }
   | {readonly kind: 'deallocate'; readonly name: string};
@@ -29,49 +29,49 @@
 /** A statement that a member of a service runs. */
 export type TargetStatement =
   | Exclude<Statement, {kind: 'deallocate'}>
-  /** Clears values and prepared statements; takes no slot. */
+  /** Clears session values and prepared statements; takes no slot. */
   | {readonly kind: 'reset'}
   | {readonly kind: 'status'}
-  /** A replica stops receiving, so that its log can be compared. */
+  /** Stops a replica from receiving, so that its log can be compared. */
   | {readonly kind: 'pause'; readonly term: number}
   | {readonly kind: 'resume'}
-  /** A primary of a lower term becomes a replica. */
+  /** Makes a primary of a lower term a replica. */
   | {readonly kind: 'stepDown'; readonly term: number};
 
-/** One statement on its way to a target. */
+/** A statement sent to a target. */
 export interface TargetCall {
-  /** The caller's id of the request; undefined for the system's own. */
+  /** The id of the caller's request; undefined for the proxy's own calls. */
   readonly requestId: string | undefined;
   readonly statement: TargetStatement;
-  /** What the target's log must hold for a read or a begin. */
+  /** The position that the target's log must reach for a read or a begin. */
   readonly minPosition?: Position;
 }
 
-/** Why a statement did not succeed. */
+/** Why a statement failed. */
 export type Failure =
-  /** No room at the target or here; nothing ran. */
+  /** No capacity at the target or at the proxy; nothing ran. */
   | 'busy'
-  /** The transaction is undone. */
+  /** The transaction was rolled back. */
   | 'aborted'
-  /** The replica's log lacks the position that was asked for; nothing ran. */
+  /** The replica's log has not reached the minimum position; nothing ran. */
   | 'lagging'
-  /** The member does not lead; nothing ran. */
+  /** The member is not the primary; nothing ran. */
   | 'not primary'
   /** The address belongs to another member now; nothing ran. */
   | 'other member'
-  /** The member has as many connections as it takes; nothing ran. */
+  /** The member has reached its connection limit; nothing ran. */
   | 'too many connections'
   /** No prepared statement of that name; nothing ran. */
   | 'unknown name'
   /** It ran and failed. */
   | 'failed'
-  /** It ran and took too long, or nobody knows. */
+  /** It timed out and may have run. */
   | 'timeout'
   | 'unknown database'
   | 'bad message'
-  /** The caller's key is not, or no longer, one of an account; nothing ran. */
+  /** No account holds the caller's key any more; nothing ran. */
   | 'not authorized'
-  /** Whether it ran is not known. */
+  /** It is unknown whether it took effect. */
   | 'unknown outcome';
 
 const NOT_RUN: ReadonlySet<Failure> = new Set([
@@ -84,20 +84,20 @@
   'not authorized',
 ]);
 
-/** Whether a target's failure says that the statement did not run. */
+/** Whether a failure implies that the statement did not run. */
 export function didNotRun(failure: Failure): boolean {
   return NOT_RUN.has(failure);
 }
 
-/** The state of a session: outside, inside, or in a failed transaction. */
+/** Whether a session is outside, inside or in a failed transaction. */
 export type TransactionState = 'idle' | 'open' | 'failed';
 
-/** How one statement ended. */
+/** The result of one statement. */
 export type StatementResult =
   | {
       readonly kind: 'done';
       readonly rows: readonly string[];
-      /** The member's signature; '' where no member was asked. */
+      /** The member's signature; '' for a result without a member. */
       readonly signature: string;
     }
   | {
@@ -106,33 +106,33 @@
       readonly text: string;
     };
 
-/** A target's whole answer to one call. */
+/** A target's reply to one call. */
 export type TargetReply =
   | {
       readonly kind: 'answer';
       readonly result: StatementResult;
       readonly state: TransactionState;
-      /** What the target's log held; undefined where it did not say. */
+      /** The position of the target's log; undefined if it sent none. */
       readonly position: Position | undefined;
     }
-  /** The connection ended, or was given up, before the answer was whole. */
+  /** The connection was closed before the reply was complete. */
   | {readonly kind: 'lost'; readonly reason: string};
 
-/** What a caller gets for one request. */
+/** The reply to one request of a caller. */
 export interface CallerReply {
   readonly result: StatementResult;
   readonly state: TransactionState;
   readonly position: Position | undefined;
 }
 
-/** An answer that the system gives itself. */
+/** The result of a statement that needs no member. */
 export const DONE_LOCALLY: StatementResult = {
   kind: 'done',
   rows: [],
   signature: '',
 };
 
-/** A failure as a result. */
+/** Creates the result of a failed statement. */
 export function failure(kind: Failure, text: string): StatementResult {
   return {kind: 'error', failure: kind, text};
 }
