--- a/src/services/instance/common/instance_settings.ts
+++ b/src/services/instance/common/instance_settings.ts
@@ -4,43 +4,42 @@
 import {parseIni} from '../../settings/common/ini_file';
 import type {SettingsError} from '../../settings/common/settings';
 
-/** What one process of a fleet learns from its settings file. */
+/** The settings of one process of a fleet, from its settings file. */
 export interface InstanceSettings {
   readonly instance: string;
   readonly site: string;
   readonly region: string;
   readonly ip: string;
-  /** Port for the exchange between instances. */
+  /** Port for connections between instances. */
   readonly internalPort: number;
-  /** Address for callers; '' where none are served. */
+  /** Address for callers; '' if it serves none. */
   readonly callersAddress: string;
   readonly readinessAddress: string;
-  /** Address for operators and members; '' where none are served. */
+  /** Address for operators and members; '' if it serves none. */
   readonly operatorsAddress: string;
-  /** Data folder; '' without a disk. */
+  /** Empty for an instance without a disk. */
   readonly dataFolder: string;
-  /** Addresses for operators of some control instances. */
+  /** Operator addresses of some control instances. */
   readonly seedAddresses: readonly string[];
-  /** The whole system starts for the first time. */
+  /** Whether the whole system starts for the first time. */
   readonly isBootstrap: boolean;
-  /** Control instances that may be lost at once. */
+  /** Number of control instances that may be lost at the same time. */
   readonly toleratedControlLosses: number;
-  /** From the order to stop to the forced end, in milliseconds. */
+  /** Time from the signal to stop to the kill, in milliseconds. */
   readonly shutdownGraceMs: number;
-  /** Address of whoever carries promotions out; '' without one. */
+  /** Address of the service that carries promotions out; '' without one. */
   readonly promotionAuthorityAddress: string;
-  /** Whether it refuses an order with a lower token than one it has seen. */
+  /** Whether that service rejects outdated fencing tokens. */
   readonly isPromotionFenced: boolean;
   /**
-   * How long after its withdrawal a key may be in use anywhere, in
-   * milliseconds; 0 where that is not promised for instances without control.
+   * Upper bound of the time that a withdrawn key remains usable, in milliseconds;
+   * 0 if there is none for instances without a connection to control.
    */
   readonly revocationMs: number;
-  /** How exactly limits of accounts have to be kept. */
+  /** How precisely account limits are enforced. */
   readonly limitPrecision: LimitPrecision;
-  /** Processor time and link; 0 where they are not known. */
+  /** CPU and network capacity; 0 if unknown. */
   readonly capacity: InstanceCapacity;
-  /** The region of each site. */
   readonly regionBySite: ReadonlyMap<string, string>;
 }
 
@@ -51,45 +50,51 @@
   file: string,
   text: string,
 ): Result<InstanceSettings, readonly SettingsError[]> {
-  const faults: SettingsError[] = [];
-  const ini = parseIni(file, text, faults);
-  const own = new Map<string, string>();
+  const errors: SettingsError[] = [];
+  const ini = parseIni(file, text, errors);
+  const texts = new Map<string, string>();
   const regions = new Map<string, string>();
   for (const {section, key, value} of ini.entries) {
-    if (section === 'instance') own.set(key, value);
+    if (section === 'instance') texts.set(key, value);
     if (section === 'regions') regions.set(key, value);
   }
-  const numberOf = (key: string, least: number) => {
-    const value = Number(own.get(key) ?? '');
-    if (own.has(key) && Number.isFinite(value) && value >= least) return value;
-    const found = own.get(key) ?? 'nothing';
-    faults.push({file, line: 0, key, found, allowed: `a number from ${least}`});
-    return least;
+  const numberOf = (key: string, min: number) => {
+    const value = Number(texts.get(key) ?? '');
+    if (texts.has(key) && Number.isFinite(value) && value >= min) return value;
+    const found = texts.get(key) ?? 'nothing';
+    errors.push({
+      file,
+      line: 0,
+      key,
+      found,
+      allowed: `a number from ${min}`,
+    });
+    return min;
   };
-  const numberOr = (key: string, usual: number) => {
-    return textOf(own, key) === '' ? usual : numberOf(key, 0);
+  const numberOr = (key: string, defaultValue: number) => {
+    return textOf(texts, key) === '' ? defaultValue : numberOf(key, 0);
   };
-  for (const key of ['name', 'site', 'ip']) requireText(own, key, file, faults);
-  const isRevocationBound = textOf(own, 'revocation_strict') === 'true';
+  for (const key of ['name', 'site', 'ip']) checkText(texts, key, file, errors);
+  const hasRevocationBound = textOf(texts, 'revocation_strict') === 'true';
   const settings: InstanceSettings = {
-    instance: textOf(own, 'name'),
-    site: textOf(own, 'site'),
-    region: textOf(own, 'region'),
-    ip: textOf(own, 'ip'),
+    instance: textOf(texts, 'name'),
+    site: textOf(texts, 'site'),
+    region: textOf(texts, 'region'),
+    ip: textOf(texts, 'ip'),
     internalPort: numberOf('internal_port', 1),
-    callersAddress: textOf(own, 'callers'),
-    readinessAddress: textOf(own, 'readiness'),
-    operatorsAddress: textOf(own, 'operators'),
-    dataFolder: textOf(own, 'data'),
-    seedAddresses: textOf(own, 'seeds')
+    callersAddress: textOf(texts, 'callers'),
+    readinessAddress: textOf(texts, 'readiness'),
+    operatorsAddress: textOf(texts, 'operators'),
+    dataFolder: textOf(texts, 'data'),
+    seedAddresses: textOf(texts, 'seeds')
       .split(',')
       .filter(seed => seed !== ''),
-    isBootstrap: textOf(own, 'bootstrap') === 'true',
+    isBootstrap: textOf(texts, 'bootstrap') === 'true',
     toleratedControlLosses: numberOf('losses', 0),
     shutdownGraceMs: numberOf('grace_s', 1) * 1_000,
-    promotionAuthorityAddress: textOf(own, 'promotions'),
-    isPromotionFenced: textOf(own, 'promotions_fenced') === 'true',
-    revocationMs: isRevocationBound ? numberOf('revocation_ms', 1) : 0,
+    promotionAuthorityAddress: textOf(texts, 'promotions'),
+    isPromotionFenced: textOf(texts, 'promotions_fenced') === 'true',
+    revocationMs: hasRevocationBound ? numberOf('revocation_ms', 1) : 0,
     limitPrecision: {
       windowMs: numberOr('limit_window_s', 0) * 1_000,
       excess: numberOr('limit_excess', 0),
@@ -101,19 +106,19 @@
     },
     regionBySite: regions,
   };
-  return faults.length > 0 ? err(faults) : ok(settings);
+  return errors.length > 0 ? err(errors) : ok(settings);
 }
 
 function textOf(entries: Entries, key: string): string {
   return (entries.get(key) ?? '').trim();
 }
 
-function requireText(
+function checkText(
   entries: Entries,
   key: string,
   file: string,
-  faults: SettingsError[],
+  errors: SettingsError[],
 ): void {
   if (textOf(entries, key) !== '') return;
-  faults.push({file, line: 0, key, found: 'nothing', allowed: 'a text'});
+  errors.push({file, line: 0, key, found: 'nothing', allowed: 'a text'});
 }
--- a/src/services/instance/node/settings_watch.ts
+++ b/src/services/instance/node/settings_watch.ts
@@ -8,8 +8,8 @@
   type InstanceSettings,
 } from '../common/instance_settings';
 
-/** The file may change without a signal; it is looked at this often, in ms. */
-const LOOK_MS = 2_000;
+/** Polls the file, which may change without a signal. */
+const CHECK_INTERVAL_MS = 2_000;
 
 /** Reads the settings file of an instance. */
 export function loadInstanceSettings(
@@ -23,25 +23,25 @@
   }
 }
 
-/** Calls back with new settings when the file has changed. */
+/** Calls back with new settings when the file changes, or with its errors. */
 export function watchInstanceSettings(
   file: string,
   signal: AbortSignal,
   onDidChange: (settings: InstanceSettings) => void,
   onDidFail: (faults: readonly SettingsError[]) => void,
 ): void {
-  let last = '';
-  const look = () => {
+  let lastText = '';
+  const check = () => {
     const loaded = loadInstanceSettings(file);
     if (loaded.isErr) return onDidFail(loaded.error);
     const text = JSON.stringify([loaded.value, [...loaded.value.regionBySite]]);
-    if (text === last) return;
-    const isFirst = last === '';
-    last = text;
+    if (text === lastText) return;
+    const isFirst = lastText === '';
+    lastText = text;
     if (!isFirst) onDidChange(loaded.value);
   };
-  look();
-  every(signal, LOOK_MS, look);
-  process.on('SIGHUP', look);
-  signal.addEventListener('abort', () => process.off('SIGHUP', look));
+  check();
+  every(signal, CHECK_INTERVAL_MS, check);
+  process.on('SIGHUP', check);
+  signal.addEventListener('abort', () => process.off('SIGHUP', check));
 }
