--- a/src/services/settings/common/ini_file.ts
+++ b/src/services/settings/common/ini_file.ts
@@ -1,7 +1,7 @@
 import {decode} from 'ini';
 import type {SettingsError} from './settings';
 
-/** One key of a file, with where it stands. */
+/** A key and value of a file with their section and line. */
 export interface IniEntry {
   readonly section: string;
   readonly key: string;
@@ -9,7 +9,7 @@
   readonly line: number;
 }
 
-/** A file of settings with the line of everything in it. */
+/** The sections and entries of a settings file. */
 export interface IniFile {
   readonly file: string;
   readonly sections: readonly {
@@ -20,17 +20,17 @@
 }
 
 /**
- * Reads an INI text. Each line is decoded by the ini library; only sections
- * and line numbers, which it does not report, are kept track of here.
+ * Parses an INI text and appends its errors. The ini library decodes each line;
+ * sections and line numbers are tracked here, since it does not report them.
  */
 export function parseIni(
   file: string,
   text: string,
-  faults: SettingsError[],
+  errors: SettingsError[],
 ): IniFile {
   const sections: {section: string; line: number}[] = [];
   const entries: IniEntry[] = [];
-  const seen = new Map<string, number>();
+  const lineByName = new Map<string, number>();
   let section = '';
   text.split(/\r?\n/).forEach((content, index) => {
     const line = index + 1;
@@ -45,16 +45,16 @@
     const entry = readEntry(section, trimmed, line);
     if (!entry) {
       const found = `"${trimmed}"`;
-      faults.push({file, line, key: '', found, allowed: 'key = value'});
+      errors.push({file, line, key: '', found, allowed: 'key = value'});
       return;
     }
     const name = `${section}.${entry.key}`;
-    const earlier = seen.get(name);
-    if (earlier !== undefined) {
-      const found = `a second value, the first is on line ${earlier}`;
-      faults.push({file, line, key: entry.key, found, allowed: 'one value'});
+    const earlierLine = lineByName.get(name);
+    if (earlierLine !== undefined) {
+      const found = `a second value, the first is on line ${earlierLine}`;
+      errors.push({file, line, key: entry.key, found, allowed: 'one value'});
     }
-    seen.set(name, line);
+    lineByName.set(name, line);
     entries.push(entry);
   });
   return {file, sections, entries};
--- a/src/services/settings/common/settings.ts
+++ b/src/services/settings/common/settings.ts
@@ -29,13 +29,13 @@
   SystemSettings,
 } from '../../../schema/generated/settings';
 
-/** One text of settings, with the name that faults are reported under. */
+/** A settings text and the file name that its errors are reported with. */
 export interface SettingsSource {
   readonly file: string;
   readonly text: string;
 }
 
-/** One thing that is wrong with a settings file. */
+/** An error in a settings file. */
 export interface SettingsError {
   readonly file: string;
   readonly line: number;
@@ -44,13 +44,13 @@
   readonly allowed: string;
 }
 
-/** One control instance. */
+/** A control instance and its address. */
 export interface ControlAddress {
   readonly instance: InstanceId;
   readonly address: string;
 }
 
-/** Everything that the base file and a site's overlay say. */
+/** The settings of the base file and a site's overlay. */
 export interface Settings {
   readonly system: SystemSettings;
   readonly control: readonly ControlAddress[];
@@ -63,41 +63,41 @@
 
 /** Sections that an overlay may have although the base file lacks them. */
 const OVERLAY_SECTIONS = new Set(['proxy']);
-/** Sections that are the same everywhere. */
+/** Sections that an overlay may not change. */
 const BASE_ONLY_SECTIONS = new Set(['system']);
 const CONTROL_COUNTS = [1, 3, 5];
 
 type Values = Map<string, Record<string, unknown>>;
 
-/** Reads the base file and an overlay; all faults at once. */
+/** Parses the base file and an overlay; reports all errors together. */
 export function parseSettings(
   base: SettingsSource,
   overlay?: SettingsSource,
 ): Result<Settings, readonly SettingsError[]> {
-  const faults: SettingsError[] = [];
+  const errors: SettingsError[] = [];
   const values: Values = new Map();
-  const baseFile = parseIni(base.file, base.text, faults);
-  take(baseFile, values, faults);
+  const baseFile = parseIni(base.file, base.text, errors);
+  addSections(baseFile, values, errors);
   if (overlay) {
-    const overlayFile = parseIni(overlay.file, overlay.text, faults);
-    checkOverlay(overlayFile, values, faults);
-    take(overlayFile, values, faults);
+    const overlayFile = parseIni(overlay.file, overlay.text, errors);
+    checkOverlay(overlayFile, values, errors);
+    addSections(overlayFile, values, errors);
   }
-  fillDefaults(values, base.file, faults);
-  const control = readControl(values, base.file, faults);
-  return faults.length > 0 ? err(faults) : ok(assemble(values, control));
+  fillDefaults(values, base.file, errors);
+  const control = readControl(values, base.file, errors);
+  return errors.length > 0 ? err(errors) : ok(makeSettings(values, control));
 }
 
-/** A fault as one line for people. */
-export function formatSettingsError(fault: SettingsError): string {
-  const {file, line, key, found, allowed} = fault;
+/** Formats an error as one line for operators. */
+export function formatSettingsError(error: SettingsError): string {
+  const {file, line, key, found, allowed} = error;
   return `${file}:${line}: ${key}: found ${found}; allowed: ${allowed}`;
 }
 
 function checkOverlay(
   overlay: IniFile,
   values: Values,
-  faults: SettingsError[],
+  errors: SettingsError[],
 ): void {
   const known = new Set([...values.keys(), ...OVERLAY_SECTIONS]);
   for (const {section, key, line} of overlay.entries) {
@@ -106,32 +106,36 @@
       : 'a section of the base file';
     if (known.has(section) && !BASE_ONLY_SECTIONS.has(section)) continue;
     const {file} = overlay;
-    faults.push({file, line, key, found: `[${section}]`, allowed});
+    errors.push({file, line, key, found: `[${section}]`, allowed});
   }
 }
 
-function take(ini: IniFile, values: Values, faults: SettingsError[]): void {
+function addSections(
+  ini: IniFile,
+  values: Values,
+  errors: SettingsError[],
+): void {
   for (const {section, line} of ini.sections) {
     if (schemaOf(section)) {
       values.set(section, values.get(section) ?? {});
       continue;
     }
-    faults.push({
+    errors.push({
       file: ini.file,
       line,
       key: `[${section}]`,
       found: 'an unknown section',
-      allowed: SECTIONS.map(sectionForm).join(', '),
+      allowed: SECTIONS.map(formatSection).join(', '),
     });
   }
-  for (const entry of ini.entries) takeEntry(ini.file, entry, values, faults);
+  for (const entry of ini.entries) addEntry(ini.file, entry, values, errors);
 }
 
-function takeEntry(
+function addEntry(
   file: string,
   entry: IniEntry,
   values: Values,
-  faults: SettingsError[],
+  errors: SettingsError[],
 ): void {
   const {section, key, line} = entry;
   const sectionSchema = schemaOf(section);
@@ -139,13 +143,13 @@
   const schema = sectionSchema.keys.find(other => other.key === key);
   if (!schema) {
     const allowed = sectionSchema.keys.map(other => other.key).join(', ');
-    faults.push({file, line, key, found: 'an unknown key', allowed});
+    errors.push({file, line, key, found: 'an unknown key', allowed});
     return;
   }
-  const value = convert(schema, entry.value);
+  const value = convertValue(schema, entry.value);
   if (value === undefined) {
     const found = `"${entry.value}"`;
-    faults.push({file, line, key, found, allowed: allowedBy(schema)});
+    errors.push({file, line, key, found, allowed: describeAllowed(schema)});
     return;
   }
   values.get(section)![schema.field] = value;
@@ -158,11 +162,11 @@
   return schema?.repeated === dot > 0 ? schema : undefined;
 }
 
-function sectionForm({name, repeated}: SectionSchema): string {
+function formatSection({name, repeated}: SectionSchema): string {
   return repeated ? `[${name}.NAME]` : `[${name}]`;
 }
 
-function convert(schema: KeySchema, text: string): unknown {
+function convertValue(schema: KeySchema, text: string): unknown {
   switch (schema.type) {
     case 'integer':
     case 'number':
@@ -184,7 +188,7 @@
   return value >= minimum && value <= maximum ? value : undefined;
 }
 
-function allowedBy(schema: KeySchema): string {
+function describeAllowed(schema: KeySchema): string {
   const {type, minimum, maximum, unit} = schema;
   if (type === 'boolean') return 'true or false';
   if (minimum === undefined) return type;
@@ -194,7 +198,7 @@
 function fillDefaults(
   values: Values,
   file: string,
-  faults: SettingsError[],
+  errors: SettingsError[],
 ): void {
   for (const section of SECTIONS) {
     if (!section.repeated && !values.has(section.name)) {
@@ -207,8 +211,8 @@
       if (fields[field] !== undefined) continue;
       fields[field] = defaultValue;
       if (!required) continue;
-      const fault = {file, line: 1, found: 'nothing', allowed: 'a value'};
-      faults.push({...fault, key: `${section}.${key}`});
+      const error = {file, line: 1, found: 'nothing', allowed: 'a value'};
+      errors.push({...error, key: `${section}.${key}`});
     }
   }
 }
@@ -216,19 +220,19 @@
 function readControl(
   values: Values,
   file: string,
-  faults: SettingsError[],
+  errors: SettingsError[],
 ): ControlAddress[] {
   const texts = (values.get('system')?.['control'] ?? []) as string[];
   const addresses = texts.map(text => {
     const [instance = '', address = ''] = text.split('=');
     return {instance: instanceId(instance.trim()), address: address.trim()};
   });
-  const wellFormed = addresses.every(({instance, address}) => {
+  const areWellFormed = addresses.every(({instance, address}) => {
     return instance !== '' && parseAddress(address) !== undefined;
   });
-  const counted = CONTROL_COUNTS.includes(addresses.length);
-  if (texts.length > 0 && (!wellFormed || !counted)) {
-    faults.push({
+  const isCountAllowed = CONTROL_COUNTS.includes(addresses.length);
+  if (texts.length > 0 && (!areWellFormed || !isCountAllowed)) {
+    errors.push({
       file,
       line: 1,
       key: 'system.control',
@@ -239,22 +243,26 @@
   return addresses;
 }
 
-function assemble(
+function makeSettings(
   values: Values,
   control: readonly ControlAddress[],
 ): Settings {
   const section = <T>(name: string) => values.get(name) as T;
-  const distances = named<DistanceSettings>(values, 'distance');
+  const distances = sectionsOfKind<DistanceSettings>(values, 'distance');
   return {
     system: section<SystemSettings>('system'),
     control,
     proxy: section<ProxySettings>('proxy'),
-    services: keyed<ServiceName, ServiceSettings>(
+    services: sectionsByName<ServiceName, ServiceSettings>(
       values,
       'service',
       serviceName,
     ),
-    classes: keyed<ClassName, ClassSettings>(values, 'class', className),
+    classes: sectionsByName<ClassName, ClassSettings>(
+      values,
+      'class',
+      className,
+    ),
     oneWayLatencyMs(from, to) {
       if (from === to) return 0;
       const pair =
@@ -264,7 +272,7 @@
   };
 }
 
-function named<T>(values: Values, kind: string): Map<string, T> {
+function sectionsOfKind<T>(values: Values, kind: string): Map<string, T> {
   const prefix = `${kind}.`;
   const found = new Map<string, T>();
   for (const [section, fields] of values) {
@@ -274,17 +282,20 @@
   return found;
 }
 
-function keyed<K, T>(
+function sectionsByName<K, T>(
   values: Values,
   kind: string,
   brand: (text: string) => K,
 ): Map<K, T> {
   return new Map(
-    [...named<T>(values, kind)].map(([name, fields]) => [brand(name), fields]),
+    [...sectionsOfKind<T>(values, kind)].map(([name, fields]) => [
+      brand(name),
+      fields,
+    ]),
   );
 }
 
-/** The site that settings name, or the empty one. */
+/** The site of the proxy; empty if the settings name none. */
 export function siteOf(settings: Settings): SiteId {
   return siteId(settings.proxy.site);
 }
--- a/src/services/settings/node/settings_files.ts
+++ b/src/services/settings/node/settings_files.ts
@@ -20,12 +20,12 @@
     return parseSettings(base, overlay);
   } catch (thrown) {
     const found = toError(thrown).message;
-    const fault = {file: baseFile, line: 0, key: 'file', found};
-    return err([{...fault, allowed: 'a readable file'}]);
+    const error = {file: baseFile, line: 0, key: 'file', found};
+    return err([{...error, allowed: 'a readable file'}]);
   }
 }
 
-/** One file as a source of settings. */
+/** Reads one file; throws if it cannot be read. */
 export function readSettingsSource(file: string): SettingsSource {
   return {file, text: readFileSync(file, 'utf8')};
 }
--- a/src/services/settings/test/common/settings.test.ts
+++ b/src/services/settings/test/common/settings.test.ts
@@ -15,7 +15,7 @@
 one_way_ms = 20
 `;
 
-function faultsOf(base: string, overlay?: string): string[] {
+function errorsOf(base: string, overlay?: string): string[] {
   const parsed = parseSettings(
     {file: 'base.ini', text: base},
     overlay === undefined ? undefined : {file: 'site.ini', text: overlay},
@@ -24,12 +24,12 @@
 }
 
 describe('settings', () => {
-  it('fills what is left out and reads an overlay over the base', () => {
+  it('applies defaults and an overlay to the base file', () => {
     const parsed = parseSettings(
       {file: 'base.ini', text: BASE},
       {file: 'site.ini', text: '[class.review]\nage_ms = 9000\n'},
     );
-    if (parsed.isErr) throw new Error('faults');
+    if (parsed.isErr) throw new Error('the settings have errors');
     const {services, classes, system} = parsed.value;
     expect(services.get(serviceName('accounts-core-1'))?.slots).toBe(2);
     expect(classes.get(className('review'))?.ageMs).toBe(9_000);
@@ -38,9 +38,9 @@
     expect(parsed.value.oneWayLatencyMs(from, to)).toBe(20);
   });
 
-  it('names file, line, key, what was found and what is allowed, all at once', () => {
+  it('reports all errors with file, line, key, value and what is allowed', () => {
     const text = `${BASE}[class.filing]\nage_ms = soon\nagee_ms = 1\nnonsense\n[other]\n`;
-    expect(faultsOf(text)).toMatchInlineSnapshot(`
+    expect(errorsOf(text)).toMatchInlineSnapshot(`
       [
         "base.ini:15: : found "nonsense"; allowed: key = value",
         "base.ini:16: [other]: found an unknown section; allowed: [system], [service.NAME], [class.NAME], [proxy], [distance.NAME]",
@@ -50,18 +50,18 @@
     `);
   });
 
-  it('lets an overlay change only what is there, and nothing of [system]', () => {
+  it('allows an overlay only sections of the base file, except [system]', () => {
     const overlay = '[service.new]\nslots = 2\n[system]\nlease_ms = 500\n';
-    expect(faultsOf(BASE, overlay)).toEqual([
+    expect(errorsOf(BASE, overlay)).toEqual([
       'site.ini:2: slots: found [service.new]; allowed: a section of the base file',
       'site.ini:4: lease_ms: found [system]; allowed: only in the base file',
     ]);
   });
 
-  it('wants 1, 3 or 5 control instances and each key once', () => {
+  it('requires 1, 3 or 5 control instances and unique keys', () => {
     const two = BASE.replace(':7001', ':7001, c2=127.0.0.1:7002');
-    expect(faultsOf(two)).toHaveLength(1);
-    expect(faultsOf(`${BASE}one_way_ms = 3\n`)).toEqual([
+    expect(errorsOf(two)).toHaveLength(1);
+    expect(errorsOf(`${BASE}one_way_ms = 3\n`)).toEqual([
       'base.ini:12: one_way_ms: found a second value, the first is on line 11; allowed: one value',
     ]);
   });
