--- a/src/services/target_link/common/member_status.ts
+++ b/src/services/target_link/common/member_status.ts
@@ -1,14 +1,14 @@
 import type {Position} from '../../position/common/position';
 import type {StatementResult} from '../../statement/common/statement';
 
-/** What a member says of itself. */
+/** The role, term and log position that a member reports. */
 export interface MemberStatus {
   readonly isPrimary: boolean;
   readonly term: number;
   readonly receivedPosition: Position;
 }
 
-/** Reads what members answer to a question for their status. */
+/** Decodes the replies of members to status commands. */
 export interface StatusReader {
   read(result: StatementResult): MemberStatus | undefined;
 }
--- a/src/services/target_link/common/target_link.ts
+++ b/src/services/target_link/common/target_link.ts
@@ -6,10 +6,10 @@
 /** The user of connections that belong to no account. */
 export const SHARED_USER: MemberUser = memberUser('bulrushstage');
 
-/** Where a member is met, and which member is expected there. */
+/** The address of a member and the member expected there. */
 export interface TargetAddress {
   readonly service: string;
-  /** Whose work the connection is for; a member holds it to that. */
+  /** The user that the member authorizes the connection for. */
   readonly user: MemberUser;
   readonly instance: string;
   readonly address: string;
@@ -17,23 +17,23 @@
 
 /** Why a connection could not be opened. */
 export type ConnectFailure =
-  /** Refused or reset: nobody listens there. */
+  /** Refused or reset: nothing listens there. */
   | 'refused'
-  /** No answer in time. */
+  /** Timed out. */
   | 'silent'
-  /** The member has as many connections as it takes. */
+  /** The member has reached its connection limit. */
   | 'too many connections'
-  /** Another member has the address now. */
+  /** Another member uses the address now. */
   | 'other member';
 
-/** A connection to a member; answers come in the order of the calls. */
+/** A connection to a member; replies arrive in the order of the calls. */
 export interface TargetLink {
   readonly isClosed: boolean;
-  /** What the member's log held when the connection opened. */
+  /** The position of the member's log when the connection opened. */
   readonly positionAtOpen: Position | undefined;
-  /** Sends calls in one go and gives each answer when it is whole. */
+  /** Pipelines calls; each promise resolves with a complete reply. */
   send(calls: readonly TargetCall[]): readonly Promise<TargetReply>[];
-  /** Calls back once when the connection ends, for whatever reason. */
+  /** Calls back once when the connection is closed for any reason. */
   onDidClose(listener: () => void): void;
   close(): void;
 }
