--- a/src/services/wire/common/backend.ts
+++ b/src/services/wire/common/backend.ts
@@ -2,7 +2,7 @@
 import {cstring} from './frontend';
 import {BodyReader} from './body_reader';
 
-/** Whether a session is in a transaction, as ReadyForQuery says it. */
+/** The transaction status of a session, as in ReadyForQuery. */
 export type TransactionStatus = 'idle' | 'open' | 'failed';
 
 const STATUS_LETTERS: Record<TransactionStatus, string> = {
@@ -11,20 +11,20 @@
   failed: 'E',
 };
 
-/** One column of an answer. */
+/** A column of a row description. */
 export interface Column {
   readonly name: string;
-  /** The object id of its type. */
+  /** The OID of the column's type. */
   readonly type: number;
 }
 
-/** Object ids of the types that the stand-in and the proxy answer with. */
+/** OIDs of PostgreSQL types. */
 export const TYPE_TEXT = 25;
 export const TYPE_INT8 = 20;
 export const TYPE_BOOL = 16;
 export const TYPE_FLOAT8 = 701;
 
-/** An error or notice with its fields. */
+/** The fields of an ErrorResponse or NoticeResponse. */
 export interface Diagnostic {
   readonly severity: 'ERROR' | 'FATAL' | 'NOTICE' | 'WARNING';
   readonly code: string;
@@ -50,7 +50,7 @@
   return READY[status];
 }
 
-/** The transaction status that a ReadyForQuery body carries. */
+/** Decodes the transaction status of a ReadyForQuery body. */
 export function decodeReadyForQuery(body: Buffer): TransactionStatus {
   const letter = String.fromCharCode(body[0] ?? 0);
   if (letter === STATUS_LETTERS.open) return 'open';
@@ -61,7 +61,7 @@
   return encodeFrame('S', Buffer.concat([cstring(name), cstring(value)]));
 }
 
-/** The name and value of a ParameterStatus body. */
+/** Decodes the name and value of a ParameterStatus body. */
 export function decodeParameterStatus(body: Buffer): [string, string] {
   const reader = new BodyReader(body);
   return [reader.cstring() ?? '', reader.cstring() ?? ''];
@@ -78,7 +78,7 @@
   return encodeFrame('C', cstring(tag));
 }
 
-/** The tag of a CommandComplete body. */
+/** Decodes the tag of a CommandComplete body. */
 export function decodeCommandComplete(body: Buffer): string {
   return new BodyReader(body).cstring() ?? '';
 }
@@ -139,7 +139,7 @@
   return Buffer.concat([...parts, Buffer.alloc(1)]);
 }
 
-/** The fields of an ErrorResponse or NoticeResponse body. */
+/** Decodes an ErrorResponse or NoticeResponse body. */
 export function decodeDiagnostic(body: Buffer): Diagnostic {
   const reader = new BodyReader(body);
   const fields = new Map<string, string>();
--- a/src/services/wire/common/frontend.ts
+++ b/src/services/wire/common/frontend.ts
@@ -1,14 +1,14 @@
 import {bodyOf, encodeFrame, typeByteOf, type Frame} from './frames';
 import {BodyReader} from './body_reader';
 
-/** What a caller says, as far as it is looked at. */
+/** A message of a caller, decoded as far as the proxy needs it. */
 export type FrontendMessage =
   | {readonly kind: 'query'; readonly text: string}
   | {
       readonly kind: 'parse';
       readonly name: string;
       readonly text: string;
-      /** The parameter types as they came, to be passed on. */
+      /** The undecoded parameter types, which are passed on as received. */
       readonly rest: Buffer;
     }
   | {
@@ -32,7 +32,7 @@
   | {readonly kind: 'terminate'}
   | {readonly kind: 'other'; readonly type: number};
 
-/** Decodes a frame of a caller; undefined where its body is broken. */
+/** Decodes a frame of a caller; undefined if its body is invalid. */
 export function decodeFrontend(frame: Frame): FrontendMessage | undefined {
   const reader = new BodyReader(bodyOf(frame));
   switch (String.fromCharCode(frame.type)) {
@@ -97,7 +97,7 @@
   return {kind: 'execute', portal, maxRows: mostRows};
 }
 
-/** Names the protocol version 3.0 in a startup packet. */
+/** Protocol version 3.0 in a startup packet. */
 export const PROTOCOL_VERSION = 196_608;
 export const SSL_REQUEST = 80_877_103;
 export const GSS_REQUEST = 80_877_104;
@@ -110,7 +110,7 @@
   | {readonly kind: 'cancel'; readonly processId: number; readonly key: number}
   | {readonly kind: 'invalid'; readonly reason: string};
 
-/** Decodes a startup packet without its length. */
+/** Decodes a startup packet, given without its length field. */
 export function decodeStartup(body: Buffer): StartupPacket {
   const reader = new BodyReader(body);
   const code = reader.int32();
@@ -138,17 +138,17 @@
 
 const ZERO = Buffer.alloc(1);
 
-/** Text with the closing zero byte of the protocol. */
+/** Encodes text with a terminating zero byte. */
 export function cstring(text: string): Buffer {
   return Buffer.concat([Buffer.from(text), ZERO]);
 }
 
-/** A Parse message with another statement name. */
+/** Encodes a Parse message with another statement name. */
 export function encodeParse(name: string, text: string, rest: Buffer): Buffer {
   return encodeFrame('P', Buffer.concat([cstring(name), cstring(text), rest]));
 }
 
-/** A Bind message with another statement name. */
+/** Encodes a Bind message with another statement name. */
 export function encodeBind(
   portal: string,
   statement: string,
@@ -158,7 +158,7 @@
   return encodeFrame('B', body);
 }
 
-/** A Describe message of a statement. */
+/** Encodes a Describe message for a statement. */
 export function encodeDescribeStatement(name: string): Buffer {
   return encodeFrame('D', Buffer.concat([Buffer.from('S'), cstring(name)]));
 }
--- a/src/services/wire/node/frame_connection.ts
+++ b/src/services/wire/node/frame_connection.ts
@@ -4,92 +4,92 @@
 import {FrameDecoder, type Frame} from '../common/frames';
 import {decodeStartup, type StartupPacket} from '../common/frontend';
 
-/** Reading pauses while more frames than this wait to be handled. */
-const MOST_WAITING_FRAMES = 256;
-const MOST_STARTUP_BYTES = 10_000;
-const STARTUP_MS = 10_000;
+/** Reading pauses while more frames than this are pending. */
+const MAX_PENDING_FRAMES = 256;
+const MAX_STARTUP_BYTES = 10_000;
+const STARTUP_TIMEOUT_MS = 10_000;
 
-/** Something that happened around a connection while its task waits. */
+/** An event that wakes the task of a connection. */
 export type ConnectionEvent = 'stop' | 'idle too long';
 
-/** What came in from the other side, or an event of this one. */
+/** A message of the peer, or a local event. */
 export type ConnectionInput =
   | {readonly kind: 'event'; readonly event: ConnectionEvent}
   | {readonly kind: 'startup'; readonly packet: StartupPacket}
   | {readonly kind: 'frame'; readonly frame: Frame}
-  /** The bytes are no frames, or one is longer than allowed. */
+  /** The bytes are not valid frames, or a frame is too long. */
   | {readonly kind: 'error'; readonly reason: string};
 
 /**
- * The server's side of one PostgreSQL connection: owns the socket, gives its
- * task one frame at a time and stops reading while the task is behind.
+ * The server side of a PostgreSQL connection. Owns the socket, passes frames to
+ * its task one at a time and stops reading while too many are pending.
  */
 export class FrameConnection {
   private readonly mailbox = new Mailbox<ConnectionInput>();
-  private readonly splitter: FrameDecoder;
+  private readonly decoder: FrameDecoder;
   private startupBytes: Buffer = Buffer.alloc(0);
-  private started = false;
-  private waiting = 0;
-  private readonly ended = ownController();
+  private hasStarted = false;
+  private pendingCount = 0;
+  private readonly closeController = ownController();
 
   constructor(
     private readonly socket: Socket,
-    mostBytes: number,
+    maxBytes: number,
     signal: AbortSignal,
   ) {
-    this.splitter = new FrameDecoder(mostBytes);
+    this.decoder = new FrameDecoder(maxBytes);
     socket.setNoDelay(true);
     socket.on('data', chunk => this.onData(chunk));
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.onClose());
     const close = () => socket.destroy();
     signal.addEventListener('abort', close, {once: true});
-    this.ended.signal.addEventListener('abort', () => {
+    this.closeController.signal.addEventListener('abort', () => {
       signal.removeEventListener('abort', close);
     });
-    // A half-open or silent connection must not hold its place for ever.
-    after(this.ended.signal, STARTUP_MS, () => {
-      if (!this.started) socket.destroy();
+    // A half-open or silent connection must not count as open for ever.
+    after(this.closeController.signal, STARTUP_TIMEOUT_MS, () => {
+      if (!this.hasStarted) socket.destroy();
     });
   }
 
-  /** Aborts when the other side is gone. */
+  /** Aborted when the connection is closed. */
   get closedSignal(): AbortSignal {
-    return this.ended.signal;
+    return this.closeController.signal;
   }
 
-  /** The other side's IP number. */
+  /** The peer's IP address; '' if it is unknown. */
   get remoteAddress(): string {
     return this.socket.remoteAddress ?? '';
   }
 
-  /** The next thing that came in; undefined once the connection is gone. */
+  /** Waits for the next input; undefined once the connection is closed. */
   *receive(): Task<ConnectionInput | undefined> {
-    const incoming = yield* this.mailbox.receive();
-    this.taken();
-    return incoming;
+    const input = yield* this.mailbox.receive();
+    this.recordTaken();
+    return input;
   }
 
-  /** The next thing that came in, if it is there already. */
+  /** The next input if there is one already. */
   poll(): ConnectionInput | undefined {
-    const incoming = this.mailbox.poll();
-    if (incoming) this.taken();
-    return incoming;
+    const input = this.mailbox.poll();
+    if (input) this.recordTaken();
+    return input;
   }
 
-  /** Wakes the task with an event, in order with what came in. */
+  /** Queues an event behind the inputs received so far. */
   notify(event: ConnectionEvent): void {
-    this.waiting++;
+    this.pendingCount++;
     this.mailbox.post({kind: 'event', event});
   }
 
-  /** Sends bytes; false once the other side is behind. */
+  /** Sends bytes; false once the write buffer is full. */
   send(bytes: Buffer): boolean {
     if (this.socket.destroyed) return true;
     return this.socket.write(bytes);
   }
 
-  /** Gathers what is sent until the returned function is called. */
+  /** Buffers what is sent until `uncork` is called. */
   cork(): void {
     this.socket.cork();
   }
@@ -98,7 +98,7 @@
     this.socket.uncork();
   }
 
-  /** Resolves when the other side has caught up or is gone. */
+  /** Resolves when the write buffer has drained or the socket is closed. */
   caughtUp(): Promise<void> {
     if (!this.socket.writableNeedDrain || this.socket.destroyed) {
       return Promise.resolve();
@@ -118,7 +118,7 @@
     if (this.socket.writableNeedDrain) yield* settled(this.caughtUp());
   }
 
-  /** Sends last bytes and closes. */
+  /** Sends final bytes and closes the connection. */
   end(bytes?: Buffer): void {
     if (bytes) this.socket.end(bytes);
     else this.socket.end();
@@ -128,53 +128,53 @@
     this.socket.destroy();
   }
 
-  private taken(): void {
-    this.waiting--;
-    if (this.waiting < MOST_WAITING_FRAMES) this.socket.resume();
+  private recordTaken(): void {
+    this.pendingCount--;
+    if (this.pendingCount < MAX_PENDING_FRAMES) this.socket.resume();
   }
 
   private onData(chunk: Buffer): void {
-    if (!this.started) return this.onStartupData(chunk);
-    const frames = this.splitter.push(chunk);
+    if (!this.hasStarted) return this.onStartupData(chunk);
+    const frames = this.decoder.push(chunk);
     if ('length' in frames && 'type' in frames) {
       const reason = `message of ${frames.length} bytes`;
-      this.put({kind: 'error', reason});
+      this.post({kind: 'error', reason});
       this.socket.pause();
       return;
     }
-    for (const frame of frames) this.put({kind: 'frame', frame});
+    for (const frame of frames) this.post({kind: 'frame', frame});
   }
 
   private onStartupData(chunk: Buffer): void {
     this.startupBytes = Buffer.concat([this.startupBytes, chunk]);
-    while (!this.started && this.startupBytes.length >= 4) {
+    while (!this.hasStarted && this.startupBytes.length >= 4) {
       const length = this.startupBytes.readUInt32BE(0);
-      if (length < 8 || length > MOST_STARTUP_BYTES) {
-        this.put({kind: 'error', reason: 'startup packet of a wrong length'});
+      if (length < 8 || length > MAX_STARTUP_BYTES) {
+        this.post({kind: 'error', reason: 'startup packet of a wrong length'});
         this.socket.pause();
         return;
       }
       if (this.startupBytes.length < length) return;
       const packet = decodeStartup(this.startupBytes.subarray(4, length));
       this.startupBytes = this.startupBytes.subarray(length);
-      this.started = packet.kind !== 'encryption';
-      this.put({kind: 'startup', packet});
+      this.hasStarted = packet.kind !== 'encryption';
+      this.post({kind: 'startup', packet});
     }
-    if (this.started && this.startupBytes.length > 0) {
+    if (this.hasStarted && this.startupBytes.length > 0) {
       const rest = this.startupBytes;
       this.startupBytes = Buffer.alloc(0);
       this.onData(rest);
     }
   }
 
-  private put(incoming: ConnectionInput): void {
-    this.waiting++;
-    if (this.waiting >= MOST_WAITING_FRAMES) this.socket.pause();
-    if (!this.mailbox.post(incoming)) this.socket.destroy();
+  private post(input: ConnectionInput): void {
+    this.pendingCount++;
+    if (this.pendingCount >= MAX_PENDING_FRAMES) this.socket.pause();
+    if (!this.mailbox.post(input)) this.socket.destroy();
   }
 
   private onClose(): void {
     this.mailbox.close();
-    this.ended.abort();
+    this.closeController.abort();
   }
 }
