--- a/src/services/sql/common/classifier.ts
+++ b/src/services/sql/common/classifier.ts
@@ -8,16 +8,16 @@
   type SyntaxNode,
 } from './syntax_tree';
 
-/** What a statement is to the proxy. */
+/** How the proxy handles a statement. */
 export type StatementClass =
-  /** Provably changes nothing: may run on a replica. */
+  /** Known to change nothing, so it may run on a replica. */
   | {readonly kind: 'read'}
-  /** Anything else that runs on the primary. */
+  /** Any other statement; it runs on the primary. */
   | {readonly kind: 'write'}
   | {readonly kind: 'begin'; readonly readOnly: boolean}
   | {readonly kind: 'commit'}
   | {readonly kind: 'rollback'}
-  /** SET or RESET of the session, or of the transaction when local. */
+  /** SET or RESET, of the transaction if local and of the session if not. */
   | {
       readonly kind: 'set';
       readonly name: string;
@@ -28,24 +28,24 @@
   | {readonly kind: 'resetAll'}
   | {readonly kind: 'discardAll'}
   | {readonly kind: 'show'; readonly name: string}
-  /** Would leave state behind on a connection that others use next. */
+  /** Would leave state on a connection that other sessions use. */
   | {readonly kind: 'unsupported'; readonly feature: string};
 
-/** The statements of one text, or why it could not be read. */
+/** The statements of a text, or its syntax error. */
 export interface ClassifiedText {
   readonly statements: readonly StatementClass[];
-  /** Set where the grammar does not accept the text. */
+  /** Set if the parser rejects the text. */
   readonly syntaxError: string | undefined;
 }
 
-const MOST_CACHED_TEXTS = 5_000;
-const MOST_CACHED_LENGTH = 4_000;
+const MAX_CACHED_TEXTS = 5_000;
+const MAX_CACHED_LENGTH = 4_000;
 
 /**
- * Functions that change nothing and whose answer is the same on a replica.
- * Any other function sends its statement to the primary.
+ * Functions without side effects that return the same on a replica. A statement
+ * with any other function runs on the primary.
  */
-const SAFE_FUNCTIONS = new Set(
+const READ_ONLY_FUNCTIONS = new Set(
   (
     'abs array_agg array_length avg btrim ceil char_length coalesce concat ' +
     'count date_part date_trunc floor generate_series greatest initcap ' +
@@ -57,7 +57,7 @@
   ).split(' '),
 );
 
-/** Functions that keep something for the session beyond its transaction. */
+/** Functions that leave session state beyond their transaction. */
 const SESSION_FUNCTIONS = new Set(
   (
     'pg_advisory_lock pg_advisory_lock_shared pg_try_advisory_lock ' +
@@ -65,7 +65,7 @@
   ).split(' '),
 );
 
-/** Bits of DECLARE's options: a cursor that outlives its transaction. */
+/** The bit of DECLARE's options for a cursor that outlives its transaction. */
 const CURSOR_WITH_HOLD = 0x20;
 
 const UNSUPPORTED: Readonly<Record<string, string>> = {
@@ -86,21 +86,21 @@
   TRANS_STMT_ROLLBACK_TO: {kind: 'write'},
 };
 
-/** Says what statements are; texts that were seen are remembered. */
+/** Classifies statements, with a cache by text. */
 export class Classifier {
-  private readonly known = new Map<string, ClassifiedText>();
+  private readonly cache = new Map<string, ClassifiedText>();
 
   constructor(private readonly grammar: SqlGrammar) {}
 
   classify(text: string): ClassifiedText {
-    const known = this.known.get(text);
-    if (known) return known;
-    const classified = this.read(text);
-    this.remember(text, classified);
+    const cached = this.cache.get(text);
+    if (cached) return cached;
+    const classified = this.classifyUncached(text);
+    this.addToCache(text, classified);
     return classified;
   }
 
-  private read(text: string): ClassifiedText {
+  private classifyUncached(text: string): ClassifiedText {
     const parsed = this.grammar.parse(text);
     if ('message' in parsed) {
       return {statements: [{kind: 'write'}], syntaxError: parsed.message};
@@ -108,22 +108,22 @@
     return {statements: parsed.map(classifyStatement), syntaxError: undefined};
   }
 
-  private remember(text: string, classified: ClassifiedText): void {
-    if (text.length > MOST_CACHED_LENGTH) return;
-    if (this.known.size >= MOST_CACHED_TEXTS) {
-      this.known.delete(this.known.keys().next().value!);
+  private addToCache(text: string, classified: ClassifiedText): void {
+    if (text.length > MAX_CACHED_LENGTH) return;
+    if (this.cache.size >= MAX_CACHED_TEXTS) {
+      this.cache.delete(this.cache.keys().next().value!);
     }
-    this.known.set(text, classified);
+    this.cache.set(text, classified);
   }
 }
 
-/** What one statement is. */
+/** Classifies one parsed statement. */
 export function classifyStatement({
   type,
   node,
 }: ParsedStatement): StatementClass {
-  const what = UNSUPPORTED[type];
-  if (what) return {kind: 'unsupported', feature: what};
+  const feature = UNSUPPORTED[type];
+  if (feature) return {kind: 'unsupported', feature: feature};
   switch (type) {
     case 'SelectStmt':
       return classifySelect(node);
@@ -143,13 +143,18 @@
 }
 
 function classifySelect(node: SyntaxNode): StatementClass {
-  const found = new FunctionScan();
-  found.visit(node);
-  if (found.session) {
-    return {kind: 'unsupported', feature: `the function ${found.session}`};
+  const scan = new TreeScan();
+  scan.visit(node);
+  if (scan.sessionFunction) {
+    return {
+      kind: 'unsupported',
+      feature: `the function ${scan.sessionFunction}`,
+    };
   }
-  const changes = found.locks || found.writes || node['intoClause'];
-  return changes || found.unsafe ? {kind: 'write'} : {kind: 'read'};
+  const hasChanges = scan.hasLock || scan.hasWrite || node['intoClause'];
+  return hasChanges || scan.hasUnsafeFunction
+    ? {kind: 'write'}
+    : {kind: 'read'};
 }
 
 function classifyTransaction(node: SyntaxNode): StatementClass {
@@ -184,8 +189,8 @@
 }
 
 function classifyCursor(node: SyntaxNode): StatementClass {
-  const held = Number(node['options'] ?? 0) & CURSOR_WITH_HOLD;
-  if (held) return {kind: 'unsupported', feature: 'cursors WITH HOLD'};
+  const holdOption = Number(node['options'] ?? 0) & CURSOR_WITH_HOLD;
+  if (holdOption) return {kind: 'unsupported', feature: 'cursors WITH HOLD'};
   return {kind: 'write'};
 }
 
@@ -194,20 +199,23 @@
   if (relation?.['relpersistence'] === 't') {
     return {kind: 'unsupported', feature: 'temporary tables'};
   }
-  const found = new FunctionScan();
-  found.visit(node);
-  if (found.session) {
-    return {kind: 'unsupported', feature: `the function ${found.session}`};
+  const scan = new TreeScan();
+  scan.visit(node);
+  if (scan.sessionFunction) {
+    return {
+      kind: 'unsupported',
+      feature: `the function ${scan.sessionFunction}`,
+    };
   }
   return {kind: 'write'};
 }
 
-/** Walks a tree for what keeps a SELECT from running on a replica. */
-class FunctionScan {
-  unsafe = false;
-  locks = false;
-  writes = false;
-  session: string | undefined;
+/** Searches a tree for what a replica must not run. */
+class TreeScan {
+  hasUnsafeFunction = false;
+  hasLock = false;
+  hasWrite = false;
+  sessionFunction: string | undefined;
 
   visit(value: unknown): void {
     if (Array.isArray(value)) {
@@ -216,17 +224,17 @@
     }
     if (typeof value !== 'object' || value === null) return;
     for (const [field, child] of Object.entries(value)) {
-      this.look(field, child as SyntaxNode);
+      this.inspect(field, child as SyntaxNode);
       this.visit(child);
     }
   }
 
-  private look(field: string, child: SyntaxNode): void {
-    if (field === 'lockingClause') this.locks = true;
-    if (/^(Insert|Update|Delete|Merge)Stmt$/.test(field)) this.writes = true;
+  private inspect(field: string, child: SyntaxNode): void {
+    if (field === 'lockingClause') this.hasLock = true;
+    if (/^(Insert|Update|Delete|Merge)Stmt$/.test(field)) this.hasWrite = true;
     if (field !== 'FuncCall') return;
     const name = stringOf(listOf(child, 'funcname').at(-1));
-    if (SESSION_FUNCTIONS.has(name)) this.session = name;
-    if (!SAFE_FUNCTIONS.has(name)) this.unsafe = true;
+    if (SESSION_FUNCTIONS.has(name)) this.sessionFunction = name;
+    if (!READ_ONLY_FUNCTIONS.has(name)) this.hasUnsafeFunction = true;
   }
 }
--- a/src/services/sql/common/syntax_tree.ts
+++ b/src/services/sql/common/syntax_tree.ts
@@ -1,6 +1,6 @@
 /**
- * The parts of PostgreSQL's syntax tree that are looked at. The grammar is
- * libpg-query's; its trees are plain objects with one key, the node's type.
+ * A node of PostgreSQL's syntax tree, as libpg-query returns it: a plain object
+ * with one key, the node's type.
  */
 export type SyntaxNode = Readonly<Record<string, unknown>>;
 
@@ -11,17 +11,17 @@
   readonly node: SyntaxNode;
 }
 
-/** Parses a text into its statements, or says what is wrong with it. */
+/** Parses a text into its statements, or returns a syntax error. */
 export interface SqlGrammar {
   parse(text: string): readonly ParsedStatement[] | SqlSyntaxError;
 }
 
-/** A text that is not SQL. */
+/** Why a text is not valid SQL. */
 export interface SqlSyntaxError {
   readonly message: string;
 }
 
-/** The type and fields of a node that stands where any node may. */
+/** The type and fields of a node; '' and no fields for no node. */
 export function unwrapNode(node: unknown): [string, SyntaxNode] {
   const entry = Object.entries((node ?? {}) as SyntaxNode)[0];
   return entry ? [entry[0], entry[1] as SyntaxNode] : ['', {}];
@@ -32,13 +32,13 @@
   return (node[field] ?? []) as SyntaxNode[];
 }
 
-/** The text of a String node. */
+/** The text of a String node; '' for any other node. */
 export function stringOf(node: unknown): string {
   const [, {sval}] = unwrapNode(node);
   return String(sval ?? '');
 }
 
-/** A constant's value; undefined where the node is no constant. */
+/** The value of a constant; undefined for any other node. */
 export function constantOf(
   node: unknown,
 ): string | number | boolean | null | undefined {
--- a/src/services/sql/node/postgres_grammar.ts
+++ b/src/services/sql/node/postgres_grammar.ts
@@ -7,36 +7,38 @@
   type SqlGrammar,
 } from '../common/syntax_tree';
 
-const MOST_KEPT_TEXTS = 1_000;
-const MOST_KEPT_LENGTH = 2_000;
+const MAX_CACHED_TEXTS = 1_000;
+const MAX_CACHED_LENGTH = 2_000;
 
-/** PostgreSQL's own grammar, from libpg-query; trees that it made are kept. */
+/** PostgreSQL's own parser, from libpg-query, with a cache of its trees. */
 export class PostgresGrammar implements SqlGrammar {
-  private readonly kept = new Map<string, readonly ParsedStatement[]>();
+  private readonly cache = new Map<string, readonly ParsedStatement[]>();
 
-  /** Loads the grammar once; its module is compiled here. */
+  /** Loads and compiles the parser's WebAssembly module. */
   static async load(): Promise<PostgresGrammar> {
     await loadModule();
     return new PostgresGrammar();
   }
 
   parse(text: string): readonly ParsedStatement[] | SqlSyntaxError {
-    const known = this.kept.get(text);
-    if (known) return known;
-    const parsed = this.parseAnew(text);
-    if (!('message' in parsed)) this.keep(text, parsed);
+    const cached = this.cache.get(text);
+    if (cached) return cached;
+    const parsed = this.parseUncached(text);
+    if (!('message' in parsed)) this.addToCache(text, parsed);
     return parsed;
   }
 
-  private keep(text: string, parsed: readonly ParsedStatement[]): void {
-    if (text.length > MOST_KEPT_LENGTH) return;
-    if (this.kept.size >= MOST_KEPT_TEXTS) {
-      this.kept.delete(this.kept.keys().next().value!);
+  private addToCache(text: string, parsed: readonly ParsedStatement[]): void {
+    if (text.length > MAX_CACHED_LENGTH) return;
+    if (this.cache.size >= MAX_CACHED_TEXTS) {
+      this.cache.delete(this.cache.keys().next().value!);
     }
-    this.kept.set(text, parsed);
+    this.cache.set(text, parsed);
   }
 
-  private parseAnew(text: string): readonly ParsedStatement[] | SqlSyntaxError {
+  private parseUncached(
+    text: string,
+  ): readonly ParsedStatement[] | SqlSyntaxError {
     try {
       const {stmts = []} = parseSync(text);
       return stmts.map(({stmt}) => {
--- a/src/services/sql/test/common/classifier.test.ts
+++ b/src/services/sql/test/common/classifier.test.ts
@@ -7,25 +7,24 @@
   classifier = new Classifier(await PostgresGrammar.load());
 });
 
-const kinds = (text: string) =>
+const kindsOf = (text: string) =>
   classifier.classify(text).statements.map(({kind}) => kind);
 
-describe('what a statement is', () => {
-  it('takes for a read only what provably changes nothing', () => {
-    expect(kinds('SELECT a, count(*) FROM t WHERE b = $1')).toEqual(['read']);
-    expect(kinds('SELECT a FROM t FOR UPDATE')).toEqual(['write']);
-    expect(kinds('SELECT a INTO u FROM t')).toEqual(['write']);
-    expect(kinds("SELECT nextval('s')")).toEqual(['write']);
-    expect(kinds('SELECT own_function(a) FROM t')).toEqual(['write']);
+describe('the classifier', () => {
+  it('classifies as a read only what is known to change nothing', () => {
+    expect(kindsOf('SELECT a, count(*) FROM t WHERE b = $1')).toEqual(['read']);
+    expect(kindsOf('SELECT a FROM t FOR UPDATE')).toEqual(['write']);
+    expect(kindsOf('SELECT a INTO u FROM t')).toEqual(['write']);
+    expect(kindsOf("SELECT nextval('s')")).toEqual(['write']);
+    expect(kindsOf('SELECT own_function(a) FROM t')).toEqual(['write']);
     expect(
-      kinds('WITH d AS (DELETE FROM t RETURNING a) SELECT * FROM d'),
+      kindsOf('WITH d AS (DELETE FROM t RETURNING a) SELECT * FROM d'),
     ).toEqual(['write']);
-    expect(kinds('this is no sql')).toEqual(['write']);
+    expect(kindsOf('this is no sql')).toEqual(['write']);
   });
 
-  // State that a session leaves on a shared connection reaches whoever uses
-  // it next: a lock that nobody releases, a notice that nobody expects.
-  it('refuses what would stay behind on a connection', () => {
+  // State left on a shared connection affects the next session that uses it.
+  it('refuses statements that leave state on a connection', () => {
     for (const text of [
       'SELECT pg_advisory_lock(1)',
       'LISTEN news',
@@ -36,12 +35,12 @@
       "PREPARE TRANSACTION 'x'",
       'SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY',
     ]) {
-      expect(kinds(text), text).toEqual(['unsupported']);
+      expect(kindsOf(text), text).toEqual(['unsupported']);
     }
   });
 
-  it('tells transactions and settings apart', () => {
-    expect(kinds('BEGIN; COMMIT; ROLLBACK')).toEqual([
+  it('classifies transactions and settings', () => {
+    expect(kindsOf('BEGIN; COMMIT; ROLLBACK')).toEqual([
       'begin',
       'commit',
       'rollback',
