--- a/src/services/gateway/node/gateway.ts
+++ b/src/services/gateway/node/gateway.ts
@@ -137,7 +137,7 @@
     };
   }
 
-  /** Sets the catalog unless it is older than the current one. */
+  /** Sets the catalog if it is newer than the current one. */
   setCatalog(catalog: Catalog): void {
     const {version} = catalog;
     if (version <= this.catalogVersion) return;
@@ -151,7 +151,7 @@
       accounts: accounts.length,
     });
     for (const session of this.sessions) session.post({kind: 'check access'});
-    this.definitions = new Map(services.map(one => [one.service, one]));
+    this.definitions = new Map(services.map(entry => [entry.service, entry]));
     for (const definition of services) {
       const {service} = definition;
       const isServed = this.servesDirectly(service);
--- a/src/services/gateway/test/node/session_fixture.ts
+++ b/src/services/gateway/test/node/session_fixture.ts
@@ -188,12 +188,12 @@
 
   /** Assigns a primary, '' for none, and grants leases on it. */
   setPrimary(instance: string): void {
-    const lead = makeAssignment(
+    const assignment = makeAssignment(
       instance,
       instance === '' ? this.epoch : ++this.epoch,
     );
-    this.leases.onAssignments([lead]);
-    this.gateway.setPrimaryAssignments([lead]);
+    this.leases.onAssignments([assignment]);
+    this.gateway.setPrimaryAssignments([assignment]);
     renew(this.leases);
   }
 }
