--- a/src/services/pooler/common/pooler_messages.ts
+++ b/src/services/pooler/common/pooler_messages.ts
@@ -22,25 +22,28 @@
   type TransactionState,
 } from '../../statement/common/statement';
 
-/** Translates what sessions ask into messages to a pooler, and back. */
+/**
+ * Conversion between session requests and the messages between a proxy and a
+ * pooler.
+ */
 
-/** A statement as a pooler gets it. */
+/** A statement that can be sent to a pooler. */
 export type PoolerStatement =
   | (Statement & {kind: 'read' | 'write' | 'execute'})
   | {readonly kind: 'commit'}
   | {readonly kind: 'rollback'};
 
-/** What a pooler needs for one statement. */
+/** A decoded step of a request. */
 export interface DecodedStep {
   readonly statement: PoolerStatement;
-  /** What a prepared statement does; set for executions only. */
+  /** The prepared statement to execute; set for executions only. */
   readonly prepared: PreparedStatement | undefined;
 }
 
-/** The name that a pooler gives the one prepared statement of a step. */
+/** Name under which a pooler stores the prepared statement of a step. */
 const STEP_STATEMENT = 'step';
 
-const FAILURES: Readonly<Record<Failure, WorkFailure>> = {
+const FAILURE_CODES: Readonly<Record<Failure, WorkFailure>> = {
   busy: WorkFailure.WORK_FAILURE_BUSY,
   aborted: WorkFailure.WORK_FAILURE_ABORTED,
   lagging: WorkFailure.WORK_FAILURE_LAGGING,
@@ -57,26 +60,28 @@
 };
 
 const FAILURE_KINDS: ReadonlyMap<WorkFailure, Failure> = new Map(
-  Object.entries(FAILURES).map(([kind, code]) => [code, kind as Failure]),
+  Object.entries(FAILURE_CODES).map(([kind, code]) => [code, kind as Failure]),
 );
 
-const STATES: Readonly<Record<TransactionState, WorkState>> = {
+const STATE_CODES: Readonly<Record<TransactionState, WorkState>> = {
   idle: WorkState.WORK_STATE_IDLE,
   open: WorkState.WORK_STATE_OPEN,
   failed: WorkState.WORK_STATE_FAILED,
 };
 
 const STATE_KINDS: ReadonlyMap<WorkState, TransactionState> = new Map(
-  Object.entries(STATES).map(([kind, code]) => [
+  Object.entries(STATE_CODES).map(([kind, code]) => [
     code,
     kind as TransactionState,
   ]),
 );
 
-/** A statement as a message; undefined for an execution of an unknown name. */
+/**
+ * Encodes a statement; undefined if it executes an unknown prepared statement.
+ */
 export function encodeStep(
   statement: PoolerStatement,
-  memory: GatewaySessionState,
+  sessionState: GatewaySessionState,
 ): WorkStep | undefined {
   const empty = {item: '', data: undefined, shape: ''};
   switch (statement.kind) {
@@ -91,14 +96,14 @@
       return {...empty, action: WorkAction.WORK_ACTION_WRITE, item, data};
     }
     case 'execute': {
-      const known = memory.findPrepared(statement.name);
-      if (!known) return undefined;
+      const prepared = sessionState.findPrepared(statement.name);
+      if (!prepared) return undefined;
       const action =
-        known.action === 'write'
+        prepared.action === 'write'
           ? WorkAction.WORK_ACTION_EXECUTE_WRITE
           : WorkAction.WORK_ACTION_EXECUTE_READ;
       const {item, data} = statement;
-      return {action, item, data, shape: known.shape};
+      return {action, item, data, shape: prepared.shape};
     }
     case 'commit':
       return {...empty, action: WorkAction.WORK_ACTION_COMMIT};
@@ -107,7 +112,10 @@
   }
 }
 
-/** Reads a statement; undefined where it says nothing that this side knows. */
+/**
+ * Decodes a statement; undefined if the message is malformed or of an unknown
+ * kind.
+ */
 export function decodeStep(step: WorkStep): DecodedStep | undefined {
   const {action, item, data, shape} = step;
   const name = STEP_STATEMENT;
@@ -136,50 +144,57 @@
   }
 }
 
-/** What of a session goes to a pooler. */
+/** The session state that is sent to a pooler. */
 export interface TransferredSession {
   readonly caller: string;
   readonly user: MemberUser;
   readonly sessionState: GatewaySessionState;
 }
 
-/** What a member must know of a session, at a time of the session's clock. */
+/** Encodes a session; `now` is on the session's clock. */
 export function encodeSession(
   {caller, user, sessionState}: TransferredSession,
   now: number,
 ): SessionSnapshot {
-  const {lastCommit: own} = sessionState;
+  const {lastCommit} = sessionState;
   return {
     caller,
     user,
     values: [...sessionState.values].flat(),
-    ownCommit: own?.position,
-    ownCommitAgeMs: own ? toWholeMilliseconds(now - own.acknowledgedAt) : 0,
+    ownCommit: lastCommit?.position,
+    ownCommitAgeMs: lastCommit
+      ? toWholeMilliseconds(now - lastCommit.acknowledgedAt)
+      : 0,
   };
 }
 
-/** Brings a pooler's memory of a session up to date, by the pooler's clock. */
+/**
+ * Replaces the state of a session at the pooler; `now` is on the clock of the
+ * pooler.
+ */
 export function applySession(
   {values, ownCommit, ownCommitAgeMs}: SessionSnapshot,
-  memory: GatewaySessionState,
+  sessionState: GatewaySessionState,
   now: number,
 ): void {
-  memory.values.clear();
-  for (let at = 0; at + 1 < values.length; at += 2) {
-    memory.setValue(values[at]!, values[at + 1]!);
+  sessionState.values.clear();
+  for (let index = 0; index + 1 < values.length; index += 2) {
+    sessionState.setValue(values[index]!, values[index + 1]!);
   }
-  memory.recordCommit(ownCommit, now - ownCommitAgeMs);
+  sessionState.recordCommit(ownCommit, now - ownCommitAgeMs);
 }
 
-/** Makes the prepared statement of a step known to a pooler's memory. */
+/**
+ * Stores the prepared statement of a step in the session state of the pooler.
+ */
 export function applyPrepared(
   {prepared}: DecodedStep,
-  memory: GatewaySessionState,
+  sessionState: GatewaySessionState,
 ): void {
-  if (prepared) memory.prepare(STEP_STATEMENT, prepared);
+  if (prepared) sessionState.prepare(STEP_STATEMENT, prepared);
 }
 
-/** The part of a route that a pooler needs. */
+/** Encodes the fields of a route that a pooler needs. */
 export function encodeTerms(route: DatabaseRoute): WorkTerms {
   const {service, consistency, stalenessMs} = route;
   const {statementMs, priority, objectiveMs} = route;
@@ -187,14 +202,17 @@
   return {service, consistency, priority, ...times};
 }
 
-/** A route as a pooler sees it: callers' names for it stay with the proxy. */
+/**
+ * Decodes a route. The database name is left empty: callers connect to the
+ * proxy only.
+ */
 export function decodeTerms(terms: WorkTerms): DatabaseRoute {
   const name = `pooled ${terms.service}`;
-  // Its proxy has looked at the caller's key.
+  // The proxy has authenticated the caller.
   return {...terms, database: '', name, keyed: false};
 }
 
-/** A statement's outcome as a message. */
+/** Encodes the result of a statement. */
 export function encodeReply(
   work: number,
   {result, state, position}: CallerReply,
@@ -203,10 +221,10 @@
   const isDone = result.kind === 'done';
   return {
     work,
-    state: STATES[state],
+    state: STATE_CODES[state],
     failure: isDone
       ? WorkFailure.WORK_FAILURE_UNSPECIFIED
-      : FAILURES[result.failure],
+      : FAILURE_CODES[result.failure],
     text: isDone ? '' : result.text,
     rows: isDone ? [...result.rows] : [],
     signature: isDone ? result.signature : '',
@@ -216,8 +234,8 @@
 }
 
 /**
- * Reads an outcome. A failure that this side does not know, of a newer pooler,
- * promises nothing.
+ * Decodes the result of a statement. An unknown failure code, sent by a newer
+ * version, is treated as an unknown outcome.
  */
 export function decodeReply(reply: WorkReply): CallerReply {
   const {rows, signature, text, committed: position} = reply;
@@ -230,9 +248,9 @@
 }
 
 /**
- * An age in whole milliseconds, rounded down: the moment that the reader counts
- * back to then lies no earlier than the writer meant, so that a read never
- * accepts older data than its caller does.
+ * Rounds an age down to whole milliseconds. A reader that subtracts it from its
+ * clock gets a moment no earlier than the writer meant, so a read never accepts
+ * data that is too old.
  */
 export function toWholeMilliseconds(milliseconds: number): number {
   return Math.max(0, Math.floor(milliseconds));
--- a/src/services/pooler/common/pooler_plan.ts
+++ b/src/services/pooler/common/pooler_plan.ts
@@ -2,50 +2,44 @@
 import type {PoolerEntry} from '../../../schema/generated/fleet';
 import {usableConnections} from '../../dispatch/common/usable_connections';
 
-/** A proxy that can keep connections for others. */
+/** A proxy that can become a pooler. */
 export interface PoolerCandidate {
   readonly instance: string;
   readonly site: string;
-  /** Where other proxies reach it. */
+  /** Address for the links of other proxies. */
   readonly address: string;
 }
 
-/** A service whose members' connections are shared out. */
+/** A service whose connections may be pooled. */
 export interface PooledService {
   readonly service: string;
-  /** Connections that one member takes from all instances together. */
+  /** Connection limit of one member, across all instances. */
   readonly connections: number;
 }
 
 /**
- * Connections to one member that a pooler has at least. A member runs 2 to 5
- * statements at a time; with fewer connections, transactions that rest between
- * statements would keep a pooler's own queue waiting while slots are free.
+ * Preferred minimum of connections per pooler and member. With fewer, idle
+ * transactions would hold all connections of a pooler while the member has free
+ * slots.
  */
-const POOLER_SHARE = 5;
+const PREFERRED_CONNECTIONS_PER_POOLER = 5;
 /**
- * Where that makes fewer poolers than sites, each site still gets one as long
- * as this many connections are left to it. With none, 68 proxies before 23
- * connections refused a sixth of a calm day's requests: nearly all for want of
- * a connection to a primary.
+ * Absolute minimum, which applies where the preferred one would leave sites
+ * without a pooler.
  */
-const LEAST_SHARE = 3;
+const MIN_CONNECTIONS_PER_POOLER = 3;
 /**
- * Poolers are named where there are so many times more proxies at least. Each
- * instance that opens connections takes 12 to 27 ms of a slot for each, and
- * none knows of the others' queues: after a common restart 82 of them kept the
- * members of all services busy for 4 s. Among a few the way through another
- * proxy costs more than that.
+ * With fewer proxies per pooler, the extra hop costs more than separate
+ * connections per proxy.
  */
-const LEAST_PROXIES_A_POOLER = 4;
+const MIN_PROXIES_PER_POOLER = 4;
 
 /**
- * Which proxies keep the connections to the members of which service.
+ * Assigns poolers to services: proxies that hold the connections to the members
+ * of a service on behalf of the others.
  *
- * Where connections are scarce, some proxies of each site keep those of a
- * service and serve the others: a member then has a few poolers with a queue
- * each, instead of as many openings as transactions. Poolers in place stay, so
- * that a proxy which comes or goes moves only its own part.
+ * Current poolers are kept where possible, so that a proxy that joins or leaves
+ * only moves its own share.
  */
 export function planPoolers(
   services: readonly PooledService[],
@@ -54,89 +48,98 @@
 ): PoolerEntry[] {
   if (services.length === 0) return [];
   const plan = new PoolerPlan(services, candidates);
-  plan.make(current);
-  // Where sites differ in size a first plan may have more in one place than
-  // the next one would keep; a plan made from it does not change any more.
-  const settled = new PoolerPlan(services, candidates);
-  settled.make(plan.entries);
-  return settled.entries;
+  plan.build(current);
+  // With sites of unequal size, a first plan may assign more poolers to a site
+  // than a plan based on it would keep. Planning again from the result gives a
+  // stable assignment.
+  const stable = new PoolerPlan(services, candidates);
+  stable.build(plan.entries);
+  return stable.entries;
 }
 
-/** A plan while it is made. */
+/** A plan under construction. */
 class PoolerPlan {
   readonly entries: PoolerEntry[] = [];
   private readonly byService = new Map<string, PoolerEntry[]>();
-  private readonly wanted: ReadonlyMap<string, number>;
+  private readonly poolerCounts: ReadonlyMap<string, number>;
   private readonly candidates: ReadonlyMap<string, PoolerCandidate>;
-  /** Services that each proxy keeps connections for. */
-  private readonly roles = new Map<string, number>();
-  private readonly mostRoles: number;
-  private readonly sites: number;
+  /** Number of services that each proxy is a pooler of. */
+  private readonly roleCounts = new Map<string, number>();
+  private readonly maxRoles: number;
+  private readonly siteCount: number;
 
   constructor(
     services: readonly PooledService[],
     candidates: readonly PoolerCandidate[],
   ) {
-    const proxies = candidates.length;
+    const proxyCount = candidates.length;
     this.candidates = new Map(candidates.map(one => [one.instance, one]));
-    this.sites = new Set(candidates.map(({site}) => site)).size;
-    this.wanted = new Map(
+    this.siteCount = new Set(candidates.map(({site}) => site)).size;
+    this.poolerCounts = new Map(
       services.map(entry => {
         const count = this.countFor(entry, services.length);
         return [entry.service, count];
       }),
     );
-    const total = [...this.wanted.values()].reduce((sum, one) => sum + one, 0);
-    this.mostRoles = Math.ceil(total / Math.max(1, proxies));
+    const total = [...this.poolerCounts.values()].reduce(
+      (sum, one) => sum + one,
+      0,
+    );
+    this.maxRoles = Math.ceil(total / Math.max(1, proxyCount));
   }
 
   /**
-   * How many poolers a service gets: about one part for each proxy, and one in
-   * each site at least. 0 where each proxy serves it itself.
+   * Number of poolers of a service: about an equal share of the proxies, and at
+   * least one per site. 0 if each proxy opens its own connections.
    */
-  private countFor({connections}: PooledService, services: number): number {
-    const proxies = this.candidates.size;
-    const shared = usableConnections(connections);
-    const {sites} = this;
-    // A site without a pooler would send all its work to another one.
-    if (Math.floor(shared / sites) < LEAST_SHARE) return 0;
-    const ample = Math.floor(shared / POOLER_SHARE);
-    const busy = Math.max(sites, Math.floor(proxies / services));
-    const count = Math.max(sites, Math.min(ample, busy));
-    return proxies >= count * LEAST_PROXIES_A_POOLER ? count : 0;
+  private countFor({connections}: PooledService, serviceCount: number): number {
+    const proxyCount = this.candidates.size;
+    const usable = usableConnections(connections);
+    const {siteCount} = this;
+    // Without a pooler in its site, a proxy would send all its work to another
+    // site.
+    if (Math.floor(usable / siteCount) < MIN_CONNECTIONS_PER_POOLER) return 0;
+    const byConnections = Math.floor(usable / PREFERRED_CONNECTIONS_PER_POOLER);
+    const byProxies = Math.max(
+      siteCount,
+      Math.floor(proxyCount / serviceCount),
+    );
+    const count = Math.max(siteCount, Math.min(byConnections, byProxies));
+    return proxyCount >= count * MIN_PROXIES_PER_POOLER ? count : 0;
   }
 
-  make(inPlace: readonly PoolerEntry[]): void {
-    for (const {service, instance} of inPlace) this.keep(service, instance);
+  build(current: readonly PoolerEntry[]): void {
+    for (const {service, instance} of current) this.keep(service, instance);
     this.fill();
   }
 
   /**
-   * Keeps a pooler in place, unless it has more than its part.
+   * Keeps a current pooler unless it exceeds its share.
    *
-   * Guard: poolers named while most proxies of a site were away have the work
-   * of all of them, and their links and processors fill up. When the others
-   * are back, all parts above an equal one go to them.
+   * Guard: poolers assigned while most proxies of a site were away carry the
+   * load of all of them and become overloaded. The surplus moves to the proxies
+   * that returned.
    */
   private keep(service: string, instance: string): void {
     const candidate = this.candidates.get(instance);
     if (!candidate) return;
-    const own = this.poolersOf(service);
-    const wanted = this.wanted.get(service) ?? 0;
-    const inSite = own.filter(({site}) => site === candidate.site).length;
-    if (own.length >= wanted || inSite >= this.mostInSite(service)) return;
-    if (this.rolesOf(instance) >= this.mostRoles) return;
+    const poolers = this.poolersOf(service);
+    const count = this.poolerCounts.get(service) ?? 0;
+    const inSite = poolers.filter(({site}) => site === candidate.site).length;
+    if (poolers.length >= count || inSite >= this.maxPerSite(service)) return;
+    if (this.roleCountOf(instance) >= this.maxRoles) return;
     this.add(service, candidate);
   }
 
-  /** Names poolers where some are missing. */
+  /** Assigns the missing poolers. */
   private fill(): void {
-    for (const [service, count] of this.wanted) {
+    for (const [service, count] of this.poolerCounts) {
       for (;;) {
-        const own = this.poolersOf(service);
-        const next = own.length < count && this.next(service, own);
-        if (!next) break;
-        this.add(service, next);
+        const poolers = this.poolersOf(service);
+        const nextCandidate =
+          poolers.length < count && this.nextCandidate(service, poolers);
+        if (!nextCandidate) break;
+        this.add(service, nextCandidate);
       }
     }
   }
@@ -147,49 +150,52 @@
   ): void {
     const entry = {service, instance, address, site};
     this.entries.push(entry);
-    const own = this.byService.get(service);
-    if (own) own.push(entry);
+    const poolers = this.byService.get(service);
+    if (poolers) poolers.push(entry);
     else this.byService.set(service, [entry]);
-    this.roles.set(instance, this.rolesOf(instance) + 1);
+    this.roleCounts.set(instance, this.roleCountOf(instance) + 1);
   }
 
-  private rolesOf(instance: string): number {
-    return this.roles.get(instance) ?? 0;
+  private roleCountOf(instance: string): number {
+    return this.roleCounts.get(instance) ?? 0;
   }
 
   private poolersOf(service: string): readonly PoolerEntry[] {
     return this.byService.get(service) ?? [];
   }
 
-  /** How many poolers of a service an equal spread puts into one site. */
-  private mostInSite(service: string): number {
-    const wanted = this.wanted.get(service) ?? 0;
-    return Math.ceil(wanted / Math.max(1, this.sites));
+  /** Upper bound of poolers of a service in one site. */
+  private maxPerSite(service: string): number {
+    const count = this.poolerCounts.get(service) ?? 0;
+    return Math.ceil(count / Math.max(1, this.siteCount));
   }
 
-  /** The least busy proxy, in the site with the fewest poolers. */
-  private next(
+  /**
+   * The proxy with the fewest roles, in the site with the fewest poolers of the
+   * service.
+   */
+  private nextCandidate(
     service: string,
-    own: readonly PoolerEntry[],
+    poolers: readonly PoolerEntry[],
   ): PoolerCandidate | undefined {
     let best: PoolerCandidate | undefined;
-    let least: readonly number[] = [];
+    let bestRank: readonly number[] = [];
     for (const candidate of this.candidates.values()) {
       const {instance, site} = candidate;
-      if (own.some(other => other.instance === instance)) continue;
-      const inSite = own.filter(other => other.site === site).length;
+      if (poolers.some(other => other.instance === instance)) continue;
+      const inSite = poolers.filter(other => other.site === site).length;
       const hash = hashOf(`${service} ${instance}`);
-      const isFull = inSite >= this.mostInSite(service) ? 1 : 0;
-      const rank = [isFull, this.rolesOf(instance), inSite, hash];
-      if (best && !isBefore(rank, least)) continue;
+      const isFull = inSite >= this.maxPerSite(service) ? 1 : 0;
+      const rank = [isFull, this.roleCountOf(instance), inSite, hash];
+      if (best && !isBefore(rank, bestRank)) continue;
       best = candidate;
-      least = rank;
+      bestRank = rank;
     }
     return best;
   }
 }
 
 function isBefore(a: readonly number[], b: readonly number[]): boolean {
-  const at = a.findIndex((value, index) => value !== b[index]);
-  return at >= 0 && a[at]! < b[at]!;
+  const index = a.findIndex((value, other) => value !== b[other]);
+  return index >= 0 && a[index]! < b[index]!;
 }
--- a/src/services/pooler/common/pooler_ranking.ts
+++ b/src/services/pooler/common/pooler_ranking.ts
@@ -2,72 +2,73 @@
 import type {MemberUser} from '../../../base/common/ids';
 import type {PoolerEntry} from '../../../schema/generated/fleet';
 
-/** Where a proxy is, to find the poolers near it. */
+/** The location of a proxy, from which the distance to poolers is derived. */
 export interface ProxyLocation {
   readonly instance: string;
   readonly site: string;
   regionOf(site: string): string;
-  /** The region of the primary of a service; undefined where none is known. */
+  /** The region of the primary of a service; undefined if unknown. */
   primaryRegionOf(service: string): string | undefined;
 }
 
-/** The work that a pooler is wanted for. */
+/** What a request needs of a pooler. */
 export interface PoolerRequirements {
   readonly service: string;
-  /** Whose connections it uses. */
+  /** The database user whose connections the request uses. */
   readonly user: MemberUser;
   readonly needsPrimary: boolean;
 }
 
-/** The order in which a proxy uses the poolers of a service. */
+/** Ranks the poolers of a service by preference. */
 export interface PoolerRanking {
   rank(
     poolers: readonly PoolerEntry[],
-    wish: PoolerRequirements,
+    requirements: PoolerRequirements,
   ): PoolerEntry[];
 }
 
 /**
- * Its own site's first, then its region's. Among equals each proxy has an order
- * of its own, so that those of a pooler that is lost spread over the others.
+ * Prefers poolers in the proxy's own site, then in its region. Ties are broken
+ * by a hash per proxy, so that the load of a lost pooler spreads over the
+ * others.
  */
 export class NearestPoolerRanking implements PoolerRanking {
-  constructor(private readonly here: ProxyLocation) {}
+  constructor(private readonly location: ProxyLocation) {}
 
   rank(
     poolers: readonly PoolerEntry[],
     {service}: PoolerRequirements,
   ): PoolerEntry[] {
-    const {here} = this;
+    const {location} = this;
     return rankBy(poolers, service, ({site, instance}) => [
-      distanceOf(site, here),
-      hashOf(`${here.instance} ${instance}`),
+      distanceOf(site, location),
+      hashOf(`${location.instance} ${instance}`),
     ]);
   }
 }
 
 /**
- * All work of an account on one member goes to one pooler, whichever proxy its
- * callers come to: by rendezvous hashing among those of the region in which the
- * work is done, the primary's for what needs it and the caller's otherwise.
- *
- * Buys: a connection serves one account only. With each site's own pooler, six
- * of them held six connections each for 74 accounts, and two operations of
- * three opened one (12 ms of one of a member's three slots).
+ * Sends all requests of an account in a region to one pooler, chosen by
+ * rendezvous hashing, whichever proxy receives them. A connection serves a
+ * single account, so spreading an account over poolers would open more
+ * connections. The region is the primary's for requests that need the primary,
+ * and the proxy's own otherwise.
  */
 export class AccountAffinityRanking implements PoolerRanking {
-  constructor(private readonly here: ProxyLocation) {}
+  constructor(private readonly location: ProxyLocation) {}
 
   rank(
     poolers: readonly PoolerEntry[],
     {service, user, needsPrimary}: PoolerRequirements,
   ): PoolerEntry[] {
-    const {here} = this;
-    const own = here.regionOf(here.site);
-    const primary = needsPrimary ? here.primaryRegionOf(service) : undefined;
-    const region = primary ?? own;
+    const {location} = this;
+    const ownRegion = location.regionOf(location.site);
+    const primaryRegion = needsPrimary
+      ? location.primaryRegionOf(service)
+      : undefined;
+    const region = primaryRegion ?? ownRegion;
     return rankBy(poolers, service, ({site, instance}) => [
-      here.regionOf(site) === region ? 0 : 1,
+      location.regionOf(site) === region ? 0 : 1,
       hashOf(`${user} ${instance}`),
     ]);
   }
@@ -80,13 +81,13 @@
   service: string,
   rankOf: (entry: PoolerEntry) => Rank,
 ): PoolerEntry[] {
-  const own = poolers.filter(other => other.service === service);
-  const ranked = own.map(entry => ({entry, rank: rankOf(entry)}));
+  const ofService = poolers.filter(entry => entry.service === service);
+  const ranked = ofService.map(entry => ({entry, rank: rankOf(entry)}));
   ranked.sort((a, b) => a.rank[0] - b.rank[0] || a.rank[1] - b.rank[1]);
   return ranked.map(({entry}) => entry);
 }
 
-function distanceOf(site: string, here: ProxyLocation): number {
-  if (site === here.site) return 0;
-  return here.regionOf(site) === here.regionOf(here.site) ? 1 : 2;
+function distanceOf(site: string, location: ProxyLocation): number {
+  if (site === location.site) return 0;
+  return location.regionOf(site) === location.regionOf(location.site) ? 1 : 2;
 }
--- a/src/services/pooler/common/pooler_waits.ts
+++ b/src/services/pooler/common/pooler_waits.ts
@@ -1,50 +1,50 @@
 import type {WorkWait} from '../../../schema/generated/pooler';
 
-/** An older word of a wait says nothing of the next request, in ms. */
-const WORD_MS = 300;
+/** Older reports say nothing about the next request. */
+const MAX_REPORT_AGE_MS = 300;
 
-/** Work whose wait is asked for. */
+/** The kind of request whose wait is looked up. */
 export interface WaitQuery {
   readonly service: string;
   readonly needsPrimary: boolean;
   readonly priority: number;
 }
 
-interface Word {
+interface ReportedWait {
   readonly priority: number;
   readonly waitMs: number;
-  readonly at: number;
+  readonly reportedAt: number;
 }
 
-/** How long work waits at one pooler, by the pooler's own words. */
+/** Queue waits at one pooler, as reported with its replies. */
 export class PoolerWaits {
-  /** By service and need, then by priority. */
-  private readonly words = new Map<string, Map<number, Word>>();
+  /** By service and target, then by priority. */
+  private readonly reports = new Map<string, Map<number, ReportedWait>>();
 
-  /** Takes the words that came with a reply. */
+  /** Applies the waits reported with a reply. */
   update(waits: readonly WorkWait[], now: number): void {
     for (const {service, needsPrimary, priority, waitMs} of waits) {
       const key = `${service} ${needsPrimary}`;
-      const own = this.words.get(key) ?? new Map<number, Word>();
-      this.words.set(key, own);
-      if (waitMs > 0) own.set(priority, {priority, waitMs, at: now});
-      else own.delete(priority);
-      if (own.size === 0) this.words.delete(key);
+      const known = this.reports.get(key) ?? new Map<number, ReportedWait>();
+      this.reports.set(key, known);
+      if (waitMs > 0) known.set(priority, {priority, waitMs, reportedAt: now});
+      else known.delete(priority);
+      if (known.size === 0) this.reports.delete(key);
     }
   }
 
   /**
-   * How long new work would wait still, in milliseconds; 0 where the pooler
-   * said nothing lately. Work waits at least as long as what is more urgent.
+   * The remaining wait of a new request in milliseconds; 0 without a recent
+   * report. A request waits at least as long as the more urgent ones.
    */
   expectedWaitMs({service, needsPrimary, priority}: WaitQuery, now: number) {
-    const own = this.words.get(`${service} ${needsPrimary}`);
-    if (!own) return 0;
+    const known = this.reports.get(`${service} ${needsPrimary}`);
+    if (!known) return 0;
     let longest = 0;
-    for (const word of own.values()) {
-      const age = now - word.at;
-      if (age > WORD_MS || word.priority > priority) continue;
-      longest = Math.max(longest, word.waitMs - age);
+    for (const report of known.values()) {
+      const age = now - report.reportedAt;
+      if (age > MAX_REPORT_AGE_MS || report.priority > priority) continue;
+      longest = Math.max(longest, report.waitMs - age);
     }
     return longest;
   }
--- a/src/services/pooler/common/select_by_wait.ts
+++ b/src/services/pooler/common/select_by_wait.ts
@@ -1,25 +1,26 @@
-/** A pooler, and how long it says that work waits there. */
+/** A pooler and the wait that it reported last. */
 export interface PoolerLoad<L> {
   readonly link: L;
-  /** In milliseconds; 0 where nothing is known. */
+  /** In milliseconds; 0 if the pooler reported none. */
   readonly waitMs: number;
 }
 
-/** Where work goes by what poolers said of their waits. */
+/** The pooler to send a request to, or the shortest wait of a refused one. */
 export type PoolerSelection<L> =
   | {readonly kind: 'send'; readonly link: L}
   | {readonly kind: 'refuse'; readonly load: PoolerLoad<L>};
 
 /**
- * Another pooler has to be better by this, in milliseconds: the way there may
- * lead to another region and back, and accounts have no connections there.
+ * Covers the round trip to a pooler in another region and the opening of a
+ * connection there.
  */
-const CLEARLY_LESS_MS = 100;
+const MIN_WAIT_REDUCTION_MS = 100;
 
 /**
- * Sends work to the first pooler unless it would wait there for too long; then
- * to the one with clearly less wait, if it is served there in time. Connections
- * belong to accounts, so that work is not moved for less.
+ * Selects the first pooler unless the request would wait there for too long;
+ * then the one with the shortest wait, if that is shorter by a margin. Refuses
+ * the request if it would be late at both. Moving work costs new connections,
+ * which are opened per account.
  */
 export function selectByWait<L>(
   first: PoolerLoad<L>,
@@ -29,8 +30,8 @@
   if (first.waitMs <= maxWaitMs) return {kind: 'send', link: first.link};
   let best = first;
   for (const other of others) {
-    const isClear = other.waitMs + CLEARLY_LESS_MS <= first.waitMs;
-    if (isClear && other.waitMs < best.waitMs) best = other;
+    const isWorthMoving = other.waitMs + MIN_WAIT_REDUCTION_MS <= first.waitMs;
+    if (isWorthMoving && other.waitMs < best.waitMs) best = other;
   }
   if (best.waitMs <= maxWaitMs) return {kind: 'send', link: best.link};
   return {kind: 'refuse', load: best};
--- a/src/services/pooler/common/wait_report.ts
+++ b/src/services/pooler/common/wait_report.ts
@@ -1,34 +1,41 @@
 import type {WorkWait} from '../../../schema/generated/pooler';
 import type {CheckoutWait} from '../../dispatch/common/checkout_request';
 
-/** Shorter waits change nothing for who sends work, in milliseconds. */
-const LEAST_TOLD_MS = 30;
-/** Entries of one reply; a service has two needs and a few priorities. */
-const MOST_ENTRIES = 6;
+/** Shorter waits make no difference to the selection of a pooler. */
+const MIN_REPORTED_WAIT_MS = 30;
+/** A service has two kinds of target and a few priorities. */
+const MAX_ENTRIES = 6;
 
 /**
- * What a pooler tells one proxy of the waits at a service: those that matter,
- * and once that they are over.
+ * The waits that a pooler reports to one proxy: every long wait, and a 0 once a
+ * reported wait is over.
  */
 export class WaitReport {
-  /** Waits that the proxy counts with, by service. */
-  private readonly told = new Map<string, readonly CheckoutWait[]>();
+  /** The waits reported last, by service. */
+  private readonly reported = new Map<string, readonly CheckoutWait[]>();
 
-  /** What goes with the next reply. */
+  /** The entries to attach to the next reply. */
   nextEntries(service: string, waits: readonly CheckoutWait[]): WorkWait[] {
-    const long = waits.filter(({waitMs}) => waitMs >= LEAST_TOLD_MS);
-    const before = this.told.get(service) ?? [];
-    if (long.length > 0) this.told.set(service, long);
-    else this.told.delete(service);
-    const over = before.filter(one => !long.some(other => isSame(one, other)));
-    const entries = [...long, ...over.map(one => ({...one, waitMs: 0}))];
-    return entries.slice(0, MOST_ENTRIES).map(one => {
+    const longWaits = waits.filter(
+      ({waitMs}) => waitMs >= MIN_REPORTED_WAIT_MS,
+    );
+    const previous = this.reported.get(service) ?? [];
+    if (longWaits.length > 0) this.reported.set(service, longWaits);
+    else this.reported.delete(service);
+    const endedWaits = previous.filter(
+      one => !longWaits.some(other => isSame(one, other)),
+    );
+    const entries = [
+      ...longWaits,
+      ...endedWaits.map(one => ({...one, waitMs: 0})),
+    ];
+    return entries.slice(0, MAX_ENTRIES).map(one => {
       return {...one, service, waitMs: Math.round(one.waitMs)};
     });
   }
 }
 
-function isSame(one: CheckoutWait, other: CheckoutWait): boolean {
+function isSame(wait: CheckoutWait, other: CheckoutWait): boolean {
   const {needsPrimary, priority} = other;
-  return one.needsPrimary === needsPrimary && one.priority === priority;
+  return wait.needsPrimary === needsPrimary && wait.priority === priority;
 }
--- a/src/services/pooler/node/pooled_runner.ts
+++ b/src/services/pooler/node/pooled_runner.ts
@@ -32,17 +32,20 @@
 import {PoolerSelector} from './pooler_selector';
 
 /**
- * Poolers that a read is sent to at most. One that answers nothing may be busy
- * rather than gone, and then each repetition is work on top.
+ * Upper bound of poolers that a read is sent to. An unresponsive pooler may be
+ * busy rather than lost, and each retry then adds load.
  */
-const MOST_POOLERS = 2;
+const MAX_POOLERS_PER_READ = 2;
 
-/** Runs sessions' work at the poolers of their services. */
+/**
+ * Runs requests at the poolers of their services, or locally if no pooler can
+ * be reached.
+ */
 export class PooledRunner implements StatementRunner {
-  private readonly waits: PoolerSelector;
+  private readonly selector: PoolerSelector;
 
   constructor(private readonly directory: PoolerDirectory) {
-    this.waits = new PoolerSelector(directory);
+    this.selector = new PoolerSelector(directory);
   }
 
   *runStatement(
@@ -54,26 +57,40 @@
     const step = encodeStep(statement, context.sessionState);
     if (!step) return failure('unknown name', 'not prepared');
     const deadline = since + route.statementMs;
-    const passed = new Set<PoolerLink>();
-    const wish = {
+    const excluded = new Set<PoolerLink>();
+    const requirements = {
       service: route.service,
       user: context.user,
       needsPrimary: needsPrimary(request),
     };
     for (;;) {
-      const found = yield* acquireLink(directory, context, wish, passed);
-      if (!found) {
+      const acquired = yield* acquireLink(
+        directory,
+        context,
+        requirements,
+        excluded,
+      );
+      if (!acquired) {
         const result = yield* LOCAL_RUNNER.runStatement(context, request);
-        return passed.size === 0 ? result : mayHaveRun(result);
+        return excluded.size === 0 ? result : asPossiblyRun(result);
       }
-      // What was sent before may have run, and is not refused as not run.
-      const isFirst = passed.size === 0;
-      const work = {route, wish, since, deadline, requestId};
-      const link = isFirst ? this.waits.select(context, found, work) : found;
+      // A request that was sent before may have run, so it must not be refused
+      // as not run.
+      const isFirst = excluded.size === 0;
+      const work = {
+        route,
+        requirements,
+        receivedAt: since,
+        deadline,
+        requestId,
+      };
+      const link = isFirst
+        ? this.selector.select(context, acquired, work)
+        : acquired;
       if (!(link instanceof PoolerLink)) return refusalResult(link);
       if (isFirst) context.classes.onRequest(route.service);
-      const now = context.clock.now();
-      const outcome = yield* callPooler(context, {
+      const sentAt = context.clock.now();
+      const reply = yield* callPooler(context, {
         link,
         deadline,
         isRetryable: !isWrite,
@@ -82,21 +99,21 @@
           requestId,
           scope: WorkScope.WORK_SCOPE_SINGLE,
           step,
-          ageMs: toWholeMilliseconds(now - since),
-          session: encodeSession(context, now),
+          ageMs: toWholeMilliseconds(sentAt - since),
+          session: encodeSession(context, sentAt),
           terms: encodeTerms(route),
         },
       });
-      if (outcome) return outcome.result;
+      if (reply) return reply.result;
       if (context.callerGone.aborted) {
         return failure('timeout', 'the caller left');
       }
-      const tookMs = context.clock.now() - now;
+      const tookMs = context.clock.now() - sentAt;
       const attempt = {instance: link.address, tookMs, detail: 'no answer'};
-      passed.add(link);
+      excluded.add(link);
       const isLate = context.clock.now() >= deadline;
-      const isLast = isLate || passed.size >= MOST_POOLERS;
-      const result = endUnanswered(context, request, attempt, isLast);
+      const isLast = isLate || excluded.size >= MAX_POOLERS_PER_READ;
+      const result = resultWithoutReply(context, request, attempt, isLast);
       if (result) return result;
     }
   }
@@ -108,7 +125,7 @@
   ): PooledTransaction {
     return new PooledTransaction(
       this.directory,
-      this.waits,
+      this.selector,
       context,
       route,
       readOnly,
@@ -118,16 +135,19 @@
 }
 
 /**
- * The outcome of a read that was sent to a pooler before. Guard: it may have run
- * there, so nobody may say that it did not.
+ * The result of a read that was also sent to a pooler. Guard: the pooler may
+ * have run it, so it must not be reported as not run.
  */
-function mayHaveRun(result: StatementResult): StatementResult {
+function asPossiblyRun(result: StatementResult): StatementResult {
   const isRefused = result.kind === 'error' && didNotRun(result.failure);
   return isRefused ? failure('timeout', 'no answer from the pooler') : result;
 }
 
-/** What a caller is told without an answer; undefined to ask another pooler. */
-function endUnanswered(
+/**
+ * The result of a request without a reply; undefined to retry it at another
+ * pooler.
+ */
+function resultWithoutReply(
   context: SessionContext,
   {requestId, route: {service}, isWrite}: StatementRequest,
   attempt: Attempt,
--- a/src/services/pooler/node/pooled_transaction.ts
+++ b/src/services/pooler/node/pooled_transaction.ts
@@ -35,55 +35,55 @@
 import {PoolerLink} from './pooler_link';
 import type {PoolerSelector} from './pooler_selector';
 
-/** Where a transaction is: at a pooler, under a name on its link. */
-interface Place {
+/** The link and the request id of a transaction at its pooler. */
+interface RemoteTransaction {
   readonly link: PoolerLink;
   readonly work: number;
 }
 
 /**
- * A transaction whose connection a pooler has. It goes to one with its first
- * statement and stays there to its end.
+ * A transaction that runs at a pooler. The pooler is selected for the first
+ * statement and stays the same until the end.
  */
 export class PooledTransaction implements SessionTransaction {
-  private place: Place | undefined;
-  /** Its first statement was sent. */
-  private begun = false;
-  private failed = false;
-  /** Runs it here instead, where no pooler could be reached at its start. */
+  private remote: RemoteTransaction | undefined;
+  /** Whether the first statement was sent. */
+  private hasBegun = false;
+  private hasFailed = false;
+  /** The local transaction used if no pooler could be reached at the start. */
   private local: SessionTransaction | undefined;
 
   constructor(
     private readonly directory: PoolerDirectory,
-    private readonly waits: PoolerSelector,
+    private readonly selector: PoolerSelector,
     private readonly context: SessionContext,
     private readonly route: DatabaseRoute,
-    private readonly readOnly: boolean,
-    private readonly since: number,
+    private readonly isReadOnly: boolean,
+    private readonly startedAt: number,
   ) {}
 
   get state(): TransactionState {
     if (this.local) return this.local.state;
-    return this.failed ? 'failed' : 'open';
+    return this.hasFailed ? 'failed' : 'open';
   }
 
   abort(reason: string): void {
     if (this.local) return this.local.abort(reason);
-    if (this.failed) return;
-    this.fail();
+    if (this.hasFailed) return;
+    this.markFailed();
     const attempt = {instance: '', tookMs: 0, detail: reason};
     this.context.telemetry.recordFailure('-', this.route.service, attempt);
   }
 
-  /** The pooler rolls back by itself; the caller need not wait for that. */
+  /** The caller does not wait for the pooler to roll back. */
   *rollback(): Task<void> {
     if (this.local) return yield* this.local.rollback();
-    const {place} = this;
-    this.place = undefined;
-    if (!place) return;
+    const {remote} = this;
+    this.remote = undefined;
+    if (!remote) return;
     const step = encodeStep({kind: 'rollback'}, this.context.sessionState)!;
-    const request = this.requestFor(place.work, '-', step, false);
-    void place.link.send(request, {isRetryable: true});
+    const request = this.requestFor(remote.work, '-', step, false);
+    void remote.link.send(request, {isRetryable: true});
   }
 
   *run(
@@ -91,11 +91,11 @@
     statement: MemberStatement,
     isWrite: boolean,
   ): Task<StatementOutcome> {
-    if (this.failed) return {result: GIVEN_UP, state: 'failed'};
-    const refused = yield* this.find(requestId);
-    if (refused) {
-      this.fail();
-      return {result: refused, state: 'failed'};
+    if (this.hasFailed) return {result: ABORTED, state: 'failed'};
+    const refusal = yield* this.ensureStarted(requestId);
+    if (refusal) {
+      this.markFailed();
+      return {result: refusal, state: 'failed'};
     }
     if (this.local) return yield* this.local.run(requestId, statement, isWrite);
     const step = encodeStep(statement, this.context.sessionState);
@@ -103,54 +103,63 @@
       const result = failure('unknown name', 'not prepared');
       return {result, state: 'open'};
     }
-    const outcome = yield* this.send(requestId, step);
-    if (!outcome) return this.lost('the pooler was lost');
-    const {result, state} = outcome;
-    if (state !== 'open') this.fail();
+    const reply = yield* this.send(requestId, step);
+    if (!reply) return this.abortWith('the pooler was lost');
+    const {result, state} = reply;
+    if (state !== 'open') this.markFailed();
     return {result, state: this.state};
   }
 
   *commit(requestId: string): Task<StatementOutcome> {
-    if (this.failed) return {result: GIVEN_UP, state: 'idle'};
-    const refused = yield* this.find(requestId);
-    if (refused) return {result: refused, state: 'idle'};
+    if (this.hasFailed) return {result: ABORTED, state: 'idle'};
+    const refusal = yield* this.ensureStarted(requestId);
+    if (refusal) return {result: refusal, state: 'idle'};
     if (this.local) return yield* this.local.commit(requestId);
     const step = encodeStep({kind: 'commit'}, this.context.sessionState)!;
-    const outcome = yield* this.send(requestId, step);
-    this.place = undefined;
-    return {result: outcome?.result ?? this.unknown(requestId), state: 'idle'};
+    const reply = yield* this.send(requestId, step);
+    this.remote = undefined;
+    return {
+      result: reply?.result ?? this.unknownOutcome(requestId),
+      state: 'idle',
+    };
   }
 
   /**
-   * Finds a pooler for the first statement, or begins here without one; the
-   * refusal where it would wait too long at each.
+   * Selects a pooler for the first statement, or begins the transaction
+   * locally. Returns a refusal if the wait would be too long at all poolers.
    */
-  private *find(requestId: string): Task<StatementResult | undefined> {
-    if (this.place || this.local) return undefined;
-    const {context, route, readOnly, since} = this;
-    const found = yield* this.takeLink(NO_LINKS);
-    if (!found) {
+  private *ensureStarted(requestId: string): Task<StatementResult | undefined> {
+    if (this.remote || this.local) return undefined;
+    const {context, route, isReadOnly, startedAt} = this;
+    const acquired = yield* this.acquireLink(NONE_EXCLUDED);
+    if (!acquired) {
       this.local = LOCAL_RUNNER.beginTransaction(
         context,
         route,
-        readOnly,
-        since,
+        isReadOnly,
+        startedAt,
       );
       return undefined;
     }
-    const {wish} = this;
+    const {requirements} = this;
     const deadline = context.clock.now() + route.statementMs;
-    const work = {route, wish, since, deadline, requestId};
-    const link = this.waits.select(context, found, work);
+    const work = {
+      route,
+      requirements,
+      receivedAt: startedAt,
+      deadline,
+      requestId,
+    };
+    const link = this.selector.select(context, acquired, work);
     if (!(link instanceof PoolerLink)) return refusalResult(link);
-    this.place = {link, work: link.nextWorkId()};
+    this.remote = {link, work: link.nextWorkId()};
     context.classes.onRequest(route.service);
     return undefined;
   }
 
   /**
-   * Sends one step. The first one may go to another pooler where its answer
-   * does not come: without a commit, what it did at the first one is undone.
+   * Sends one step. The first one is retried at another pooler if its reply
+   * does not arrive: without a commit, the first pooler rolls it back.
    */
   private *send(
     requestId: string,
@@ -159,48 +168,53 @@
     const {context, route} = this;
     const deadline = context.clock.now() + route.statementMs;
     const isCommit = step.action === WorkAction.WORK_ACTION_COMMIT;
-    const isFirst = !this.begun;
-    this.begun = true;
-    const repeatable = isFirst && !isCommit;
-    const passed = new Set<PoolerLink>();
-    for (let place = this.place; place; place = this.place) {
-      const {link, work} = place;
+    const isFirst = !this.hasBegun;
+    this.hasBegun = true;
+    const isRetryable = isFirst && !isCommit;
+    const excluded = new Set<PoolerLink>();
+    for (let remote = this.remote; remote; remote = this.remote) {
+      const {link, work} = remote;
       const request = this.requestFor(work, requestId, step, isFirst);
-      const outcome = yield* callPooler(context, {
+      const reply = yield* callPooler(context, {
         link,
         request,
         deadline,
-        isRetryable: repeatable,
+        isRetryable: isRetryable,
       });
       const isLate = context.clock.now() >= deadline;
       const isOver = isLate || context.callerGone.aborted;
-      if (outcome || !repeatable || isOver) return outcome;
+      if (reply || !isRetryable || isOver) return reply;
       link.cancel(work);
-      passed.add(link);
+      excluded.add(link);
       const attempt = {instance: link.address, tookMs: 0, detail: 'no answer'};
       context.telemetry.recordRetry(requestId, route.service, attempt);
       const {detail} = attempt;
-      const isRepeated = canRetry(context, requestId, route.service, detail);
-      if (!isRepeated) return undefined;
-      const next = yield* this.takeLink(passed);
-      this.place = next && {link: next, work: next.nextWorkId()};
+      const mayRetry = canRetry(context, requestId, route.service, detail);
+      if (!mayRetry) return undefined;
+      const next = yield* this.acquireLink(excluded);
+      this.remote = next && {link: next, work: next.nextWorkId()};
     }
     return undefined;
   }
 
-  private takeLink(
-    passed: ReadonlySet<PoolerLink>,
+  private acquireLink(
+    excluded: ReadonlySet<PoolerLink>,
   ): Task<PoolerLink | undefined> {
-    return acquireLink(this.directory, this.context, this.wish, passed);
+    return acquireLink(
+      this.directory,
+      this.context,
+      this.requirements,
+      excluded,
+    );
   }
 
-  private get wish(): PoolerRequirements {
-    const {context, route, readOnly} = this;
+  private get requirements(): PoolerRequirements {
+    const {context, route, isReadOnly} = this;
     const isStrict = route.consistency === Consistency.CONSISTENCY_PRIMARY;
     return {
       service: route.service,
       user: context.user,
-      needsPrimary: !readOnly || isStrict,
+      needsPrimary: !isReadOnly || isStrict,
     };
   }
 
@@ -210,9 +224,9 @@
     step: WorkStep,
     isFirst: boolean,
   ): WorkRequest {
-    const {context, route, readOnly, since} = this;
+    const {context, route, isReadOnly, startedAt} = this;
     const now = context.clock.now();
-    const begin = readOnly
+    const begin = isReadOnly
       ? WorkScope.WORK_SCOPE_BEGIN_READ
       : WorkScope.WORK_SCOPE_BEGIN;
     return {
@@ -220,19 +234,19 @@
       requestId,
       scope: isFirst ? begin : WorkScope.WORK_SCOPE_CONTINUE,
       step,
-      ageMs: toWholeMilliseconds(now - since),
+      ageMs: toWholeMilliseconds(now - startedAt),
       session: encodeSession(context, now),
       terms: isFirst ? encodeTerms(route) : undefined,
     };
   }
 
-  /** Without a commit nothing is kept, whatever became of the pooler. */
-  private lost(text: string): StatementOutcome {
-    this.fail();
+  /** Without a commit nothing is kept, whatever happened to the pooler. */
+  private abortWith(text: string): StatementOutcome {
+    this.markFailed();
     return {result: failure('aborted', text), state: 'failed'};
   }
 
-  private unknown(requestId: string): StatementResult {
+  private unknownOutcome(requestId: string): StatementResult {
     const detail = 'no answer to a commit: the pooler was lost';
     const attempt = {instance: '', tookMs: 0, detail};
     this.context.telemetry.recordFailure(
@@ -243,13 +257,13 @@
     return failure('unknown outcome', 'the commit may have taken effect');
   }
 
-  private fail(): void {
-    this.failed = true;
-    this.place?.link.cancel(this.place.work);
-    this.place = undefined;
+  private markFailed(): void {
+    this.hasFailed = true;
+    this.remote?.link.cancel(this.remote.work);
+    this.remote = undefined;
   }
 }
 
-const NO_LINKS: ReadonlySet<PoolerLink> = new Set();
+const NONE_EXCLUDED: ReadonlySet<PoolerLink> = new Set();
 
-const GIVEN_UP = failure('aborted', 'the transaction was given up');
+const ABORTED = failure('aborted', 'the transaction was given up');
--- a/src/services/pooler/node/pooled_work.ts
+++ b/src/services/pooler/node/pooled_work.ts
@@ -25,79 +25,84 @@
   type DecodedStep,
 } from '../common/pooler_messages';
 
-/** One statement or one transaction that another proxy sent. */
+/** A statement or a transaction that another proxy sent. */
 export class PooledWork {
-  private readonly memory = new GatewaySessionState();
-  private readonly gone = ownController();
+  private readonly sessionState = new GatewaySessionState();
+  private readonly cancellation = ownController();
   private context: SessionContext | undefined;
   private route: DatabaseRoute | undefined;
   private transaction: SessionTransaction | undefined;
-  private over = false;
+  private hasEnded = false;
 
   constructor(
     private readonly gateway: Gateway,
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Whether its last statement was answered. */
+  /** Whether the last statement was answered. */
   get isOver(): boolean {
-    return this.over;
+    return this.hasEnded;
   }
 
-  /** Whose members it needs; undefined before its first step. */
+  /** The service that it uses; undefined before the first step. */
   get service(): string | undefined {
     return this.route?.service;
   }
 
-  /** Runs one step and hands out its outcome; a proxy sends one at a time. */
-  run(request: WorkRequest, answer: (reply: CallerReply) => void): void {
-    void startTask('pooled work', () => this.runStep(request, answer));
+  /**
+   * Runs one step and passes its result to `onDidFinish`. A proxy sends the
+   * steps of a transaction one at a time.
+   */
+  run(request: WorkRequest, onDidFinish: (reply: CallerReply) => void): void {
+    void startTask('pooled work', () => this.runStep(request, onDidFinish));
   }
 
-  /** What waits for a place leaves the queue. */
+  /**
+   * Rolls back the transaction and removes a queued statement from the queue.
+   */
   cancel(reason: string): void {
-    this.gone.abort();
+    this.cancellation.abort();
     this.transaction?.abort(reason);
   }
 
   private *runStep(
     request: WorkRequest,
-    answer: (reply: CallerReply) => void,
+    onDidFinish: (reply: CallerReply) => void,
   ): Task<void> {
-    const {result, state} = yield* this.outcomeOf(request);
-    this.over = state === 'idle';
-    answer({result, state, position: this.committedSince(request)});
+    const {result, state} = yield* this.runDecoded(request);
+    this.hasEnded = state === 'idle';
+    onDidFinish({result, state, position: this.commitOf(request)});
   }
 
-  /** What this step committed; undefined where it committed nothing. */
-  private committedSince({session}: WorkRequest): Position | undefined {
-    const own = this.memory.lastCommit?.position;
+  /** The commit position of this step; undefined if it committed nothing. */
+  private commitOf({session}: WorkRequest): Position | undefined {
+    const lastCommit = this.sessionState.lastCommit?.position;
     const before = session?.ownCommit;
-    if (!own || !before) return own;
-    return comparePositions(own, before) > 0 ? own : undefined;
+    if (!lastCommit || !before) return lastCommit;
+    return comparePositions(lastCommit, before) > 0 ? lastCommit : undefined;
   }
 
-  private *outcomeOf(request: WorkRequest): Task<StatementOutcome> {
+  private *runDecoded(request: WorkRequest): Task<StatementOutcome> {
     const {step, session, terms, scope} = request;
     const decoded = step && decodeStep(step);
     if (!decoded || !session) return INVALID;
     const now = this.gateway.now();
-    applySession(session, this.memory, now);
-    applyPrepared(decoded, this.memory);
+    applySession(session, this.sessionState, now);
+    applyPrepared(decoded, this.sessionState);
     if (terms) this.route = decodeTerms(terms);
     const {route} = this;
     if (!route) return INVALID;
-    const since = now - request.ageMs;
+    const receivedAt = now - request.ageMs;
     this.context ??= this.gateway.makeSessionContext(
       {caller: callerName(session.caller), user: memberUser(session.user)},
-      this.memory,
+      this.sessionState,
       () => this.route,
       this.signal,
       undefined,
-      this.gone.signal,
+      this.cancellation.signal,
     );
     if (scope === WorkScope.WORK_SCOPE_SINGLE) {
-      return yield* this.runSingle(request, decoded, this.context, since);
+      return yield* this.runSingle(request, decoded, this.context, receivedAt);
     }
     if (scope !== WorkScope.WORK_SCOPE_CONTINUE) {
       const readOnly = scope === WorkScope.WORK_SCOPE_BEGIN_READ;
@@ -105,10 +110,10 @@
         this.context,
         route,
         readOnly,
-        since,
+        receivedAt,
       );
-      const wasGivenUp = this.gone.signal.aborted;
-      if (wasGivenUp) this.transaction.abort('given up before it began');
+      const isCancelled = this.cancellation.signal.aborted;
+      if (isCancelled) this.transaction.abort('given up before it began');
     }
     return yield* this.runInTransaction(request.requestId, decoded);
   }
@@ -117,14 +122,20 @@
     {requestId}: WorkRequest,
     {statement, prepared}: DecodedStep,
     context: SessionContext,
-    since: number,
+    receivedAt: number,
   ): Task<StatementOutcome> {
     const {kind} = statement;
     if (kind === 'commit' || kind === 'rollback') return INVALID;
     const isWrite = kind === 'write' || prepared?.action === 'write';
     const route = this.route!;
-    const single = {requestId, statement, isWrite, route, since};
-    const result = yield* LOCAL_RUNNER.runStatement(context, single);
+    const statementRequest = {
+      requestId,
+      statement,
+      isWrite,
+      route,
+      since: receivedAt,
+    };
+    const result = yield* LOCAL_RUNNER.runStatement(context, statementRequest);
     return {result, state: 'idle'};
   }
 
@@ -149,7 +160,7 @@
   }
 }
 
-/** A proxy of another version asked for something that is not known here. */
+/** Sent for a message of a kind that this version does not know. */
 const INVALID: StatementOutcome = {
   result: failure('aborted', 'a message that the pooler does not know'),
   state: 'idle',
--- a/src/services/pooler/node/pooler_call.ts
+++ b/src/services/pooler/node/pooler_call.ts
@@ -8,25 +8,27 @@
 import type {PoolerLink, SendOptions} from './pooler_link';
 
 /**
- * After a start or a loss, links to poolers open within some tens of
- * milliseconds; waiting for one is cheaper than connections of one's own.
+ * Links open within tens of milliseconds after a start or a loss; waiting for
+ * one is cheaper than opening local connections.
  */
 const LINK_WAIT_MS = 250;
-const LINK_LOOK_MS = 10;
-/** A pooler answers by the deadline itself; its answer's way comes on top. */
-const ANSWER_WAY_MS = 60;
+const LINK_POLL_MS = 10;
+/**
+ * Network delay of the reply, since the pooler answers by the deadline itself.
+ */
+const REPLY_DELAY_MS = 60;
 
-/** One statement on its way to a pooler. */
+/** A statement that is sent to a pooler. */
 export interface PoolerCall extends SendOptions {
   readonly link: PoolerLink;
   readonly request: WorkRequest;
-  /** On the session's clock, in milliseconds. */
+  /** Moment on the session's clock, in milliseconds. */
   readonly deadline: number;
 }
 
 /**
- * A usable link, after a short wait where one is being opened; undefined where
- * the work is done here.
+ * Returns a usable link, waiting briefly for one that is being opened;
+ * undefined if the request is to run locally.
  */
 export function* acquireLink(
   directory: PoolerDirectory,
@@ -34,41 +36,42 @@
   requirements: PoolerRequirements,
   excluded: ReadonlySet<PoolerLink>,
 ): Task<PoolerLink | undefined> {
-  const until = clock.now() + LINK_WAIT_MS;
+  const waitUntil = clock.now() + LINK_WAIT_MS;
   for (;;) {
-    const mayWait = clock.now() < until;
-    const chosen = directory.selectLink(requirements, excluded, mayWait);
-    if (chosen === 'here') return undefined;
-    if (chosen) return chosen;
+    const mayWait = clock.now() < waitUntil;
+    const selected = directory.selectLink(requirements, excluded, mayWait);
+    if (selected === 'local') return undefined;
+    if (selected) return selected;
     if (!mayWait || !directory.isConnecting(requirements)) return undefined;
-    yield* pause(LINK_LOOK_MS);
+    yield* pause(LINK_POLL_MS);
   }
 }
 
 /**
- * Sends a statement and waits for its outcome, to a little past its deadline,
- * or until its caller leaves; undefined where none came. A position that comes
- * back is the session's newest commit.
+ * Sends a statement and waits for its reply until shortly after the deadline,
+ * or until the caller disconnects; undefined without a reply. Records a commit
+ * position of the reply in the session.
  */
 export function* callPooler(
   {clock, sessionState, callerGone}: SessionContext,
   {link, request, deadline, isRetryable}: PoolerCall,
 ): Task<CallerReply | undefined> {
-  const timeMs = Math.max(0, deadline - clock.now()) + ANSWER_WAY_MS;
-  const abandon = () => link.cancel(request.work);
-  // Also where the caller has left: a pooler may never answer.
-  const timer = setTimeout(abandon, timeMs);
-  const answer = link.send(request, {isRetryable});
-  // A later step runs at its member: breaking it off would waste that.
-  const mayWait = request.scope !== WorkScope.WORK_SCOPE_CONTINUE;
-  if (mayWait && callerGone.aborted) abandon();
-  else if (mayWait) callerGone.addEventListener('abort', abandon, {once: true});
-  const done = yield* settled(answer);
-  callerGone.removeEventListener('abort', abandon);
+  const timeoutMs = Math.max(0, deadline - clock.now()) + REPLY_DELAY_MS;
+  const cancel = () => link.cancel(request.work);
+  // Also if the caller has disconnected: a pooler may never answer.
+  const timer = setTimeout(cancel, timeoutMs);
+  const pendingReply = link.send(request, {isRetryable});
+  // Later steps are not queued but run at once: interrupting them would waste
+  // work of the member.
+  const isQueued = request.scope !== WorkScope.WORK_SCOPE_CONTINUE;
+  if (isQueued && callerGone.aborted) cancel();
+  else if (isQueued) callerGone.addEventListener('abort', cancel, {once: true});
+  const settledReply = yield* settled(pendingReply);
+  callerGone.removeEventListener('abort', cancel);
   clearTimeout(timer);
-  const reply = 'value' in done ? done.value : undefined;
+  const reply = 'value' in settledReply ? settledReply.value : undefined;
   if (!reply) return undefined;
-  const outcome = decodeReply(reply);
-  sessionState.recordCommit(outcome.position, clock.now());
-  return outcome;
+  const decoded = decodeReply(reply);
+  sessionState.recordCommit(decoded.position, clock.now());
+  return decoded;
 }
--- a/src/services/pooler/node/pooler_directory.ts
+++ b/src/services/pooler/node/pooler_directory.ts
@@ -17,197 +17,206 @@
 import {PoolerLink, type LinkState} from './pooler_link';
 
 /**
- * Links that are kept to poolers of a service that callers here use: the one in
- * use, and one that takes over without the time that a new link takes.
+ * Usable links per service: the one in use, and one for failover without the
+ * delay of opening a link.
  */
-const KEPT_LINKS = 2;
-/** A pooler that could not be reached is tried again after this, in ms. */
-const RETRY_MS = 300;
-/** Links to poolers that fell silent are backed up within this, in ms. */
-const TEND_MS = 250;
-
-/** A pooler that was lost is not waited for again for so long, in ms. */
-const LOST_MS = 5_000;
-/** Orders of one service that are kept; some thousand accounts. */
-const MOST_RANKS = 4_096;
-
-const USELESS: ReadonlySet<LinkState> = new Set([
+const MIN_USABLE_LINKS = 2;
+/** Pause before a failed link is opened again. */
+const REOPEN_DELAY_MS = 300;
+/** Interval at which missing links are opened and unused ones closed. */
+const RECONCILE_INTERVAL_MS = 250;
+
+/** How long requests do not wait for the link to a pooler that was lost. */
+const NO_WAIT_AFTER_LOSS_MS = 5_000;
+/** Cached rankings per service; enough for thousands of accounts. */
+const MAX_RANKINGS_PER_SERVICE = 4_096;
+
+const UNUSABLE_STATES: ReadonlySet<LinkState> = new Set([
   'silent',
   'recovering',
-  'leaving',
+  'draining',
 ]);
 
-/** The poolers that this proxy sends work to, and its links to them. */
+/** The poolers that this proxy can use, and its links to them. */
 export class PoolerDirectory {
   private readonly poolers = new EntriesByService(POOLER_COMPARER);
-  /** Orders by service, then by user and the region of the primary. */
-  private readonly ranked = new Map<string, Map<string, PoolerEntry[]>>();
+  /** Cached rankings by service, then by user and region of the primary. */
+  private readonly rankings = new Map<string, Map<string, PoolerEntry[]>>();
   private addresses: ReadonlySet<string> = new Set();
-  private readonly own = new Set<string>();
-  /** Services that callers here use, by connections that are for anybody. */
-  private readonly used = new Set<string>();
-  private readonly nearest: NearestPoolerRanking;
-  private readonly byAccount: AccountAffinityRanking;
-  /** When poolers were last lost, by their addresses. */
+  private readonly ownServices = new Set<string>();
+  /**
+   * Services with callers at this proxy whose connections are shared by all
+   * accounts.
+   */
+  private readonly usedServices = new Set<string>();
+  private readonly nearestRanking: NearestPoolerRanking;
+  private readonly accountRanking: AccountAffinityRanking;
+  /** Times at which links were lost, by address. */
   private readonly lostAt = new Map<string, number>();
   private readonly links = new Map<string, PoolerLink>();
-  private readonly paused = new Set<string>();
+  private readonly reopenDelayed = new Set<string>();
 
   constructor(
-    private readonly here: ProxyLocation,
+    private readonly location: ProxyLocation,
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly signal: AbortSignal,
   ) {
-    this.nearest = new NearestPoolerRanking(here);
-    this.byAccount = new AccountAffinityRanking(here);
-    every(signal, TEND_MS, () => this.tend());
+    this.nearestRanking = new NearestPoolerRanking(location);
+    this.accountRanking = new AccountAffinityRanking(location);
+    every(signal, RECONCILE_INTERVAL_MS, () => this.reconcile());
   }
 
   /**
-   * Takes the list. Orders are made when they are needed, and stay where the
-   * poolers of their service do: each change of one service else costs each
-   * proxy all services times all poolers.
+   * Replaces the list of poolers. Rankings are computed on demand and are
+   * discarded only for services whose poolers changed, since computing all of
+   * them for each change is expensive in a large deployment.
    */
   setPoolers({poolers}: FleetPoolers): void {
     for (const service of this.poolers.update(poolers)) {
-      this.ranked.delete(service);
+      this.rankings.delete(service);
     }
     this.addresses = new Set(poolers.map(({address}) => address));
-    this.own.clear();
+    this.ownServices.clear();
     for (const {service, instance} of poolers) {
-      if (instance === this.here.instance) this.own.add(service);
+      if (instance === this.location.instance) this.ownServices.add(service);
     }
-    this.log.info('Learns of the poolers.', {
+    this.log.info('Received the list of poolers.', {
       services: this.poolers.services.length,
       poolers: poolers.length,
     });
-    this.tend();
+    this.reconcile();
   }
 
-  /** Links to poolers that answer at present. */
+  /** Number of links that are ready. */
   get readyLinkCount(): number {
     return [...this.links.values()].filter(link => link.state === 'ready')
       .length;
   }
 
-  /** Services that this proxy keeps connections for. */
+  /** Services that this proxy is a pooler of. */
   get pooledServices(): string[] {
-    return [...this.own];
+    return [...this.ownServices];
   }
 
   /**
-   * Where new work goes: a link to a pooler, none of those that failed it
-   * before, or this instance itself.
-   *
-   * @param mayWait Whether a link that is being opened is worth waiting for.
+   * Selects a link for a new request, or `local` to run it in this process;
+   * undefined if there is no usable link.
    */
   selectLink(
     requirements: PoolerRequirements,
     excluded: ReadonlySet<PoolerLink>,
     mayWait: boolean,
-  ): PoolerLink | 'here' | undefined {
+  ): PoolerLink | 'local' | undefined {
     const isShared = requirements.user === SHARED_USER;
-    if (isShared) this.use(requirements.service);
-    let second: PoolerLink | undefined;
+    if (isShared) this.markUsed(requirements.service);
+    let fallback: PoolerLink | undefined;
     for (const {address, instance} of this.rank(requirements)) {
-      if (instance === this.here.instance) return second ?? 'here';
+      if (instance === this.location.instance) return fallback ?? 'local';
       if (!isShared) this.open(address);
       const link = this.links.get(address);
       if (!link || excluded.has(link)) continue;
       const {state} = link;
       if (state === 'ready') return link;
-      if (state === 'recovering') second ??= link;
-      const isAwaited = state === 'connecting' && !this.wasLost(address);
+      if (state === 'recovering') fallback ??= link;
+      const isAwaited =
+        state === 'connecting' && !this.wasLostRecently(address);
       if (!isShared && mayWait && isAwaited) return undefined;
     }
-    return second;
+    return fallback;
   }
 
-  /** Links that work may go to, in the order of preference. */
-  readyLinks(wish: PoolerRequirements): PoolerLink[] {
-    const links = this.rank(wish).map(({address}) => this.links.get(address));
+  /** Links that are ready, in order of preference. */
+  readyLinks(requirements: PoolerRequirements): PoolerLink[] {
+    const links = this.rank(requirements).map(({address}) =>
+      this.links.get(address),
+    );
     return links.filter(link => link?.state === 'ready') as PoolerLink[];
   }
 
-  /** Whether a link is being opened that could serve soon. */
-  isConnecting(wish: PoolerRequirements): boolean {
-    return this.rank(wish).some(({address}) => {
+  /** Whether a link that is being opened may soon be usable. */
+  isConnecting(requirements: PoolerRequirements): boolean {
+    return this.rank(requirements).some(({address}) => {
       return this.links.get(address)?.state === 'connecting';
     });
   }
 
-  /** Links are opened for the first caller of a service, and kept from then. */
-  private use(service: string): void {
-    if (this.used.has(service)) return;
-    this.used.add(service);
-    this.tend();
+  /** Opens links with the first caller of a service and keeps them. */
+  private markUsed(service: string): void {
+    if (this.usedServices.has(service)) return;
+    this.usedServices.add(service);
+    this.reconcile();
   }
 
-  private rank(wish: PoolerRequirements): readonly PoolerEntry[] {
-    const {service, user, needsPrimary} = wish;
+  private rank(requirements: PoolerRequirements): readonly PoolerEntry[] {
+    const {service, user, needsPrimary} = requirements;
     const isShared = user === SHARED_USER;
-    const isPrimary = needsPrimary && !isShared;
-    const region = isPrimary ? this.here.primaryRegionOf(service) : '';
+    const usesPrimaryRegion = needsPrimary && !isShared;
+    const region = usesPrimaryRegion
+      ? this.location.primaryRegionOf(service)
+      : '';
     const key = `${user} ${region}`;
-    const orders = this.ranked.get(service) ?? new Map<string, PoolerEntry[]>();
-    const known = orders.get(key);
-    if (known) return known;
-    const choice = isShared ? this.nearest : this.byAccount;
-    const ranked = choice.rank(this.poolers.get(service), wish);
-    if (orders.size >= MOST_RANKS) orders.clear();
-    this.ranked.set(service, orders.set(key, ranked));
+    const byRequirements =
+      this.rankings.get(service) ?? new Map<string, PoolerEntry[]>();
+    const cached = byRequirements.get(key);
+    if (cached) return cached;
+    const ranking = isShared ? this.nearestRanking : this.accountRanking;
+    const ranked = ranking.rank(this.poolers.get(service), requirements);
+    if (byRequirements.size >= MAX_RANKINGS_PER_SERVICE) byRequirements.clear();
+    this.rankings.set(service, byRequirements.set(key, ranked));
     return ranked;
   }
 
-  /** Whether a pooler was lost lately: waiting for it again costs too much. */
-  private wasLost(address: string): boolean {
-    const at = this.lostAt.get(address) ?? -Infinity;
-    return this.clock.now() - at < LOST_MS;
+  /** Whether a pooler was lost recently. */
+  private wasLostRecently(address: string): boolean {
+    const lostAt = this.lostAt.get(address) ?? -Infinity;
+    return this.clock.now() - lostAt < NO_WAIT_AFTER_LOSS_MS;
   }
 
-  /** Opens links where too few are usable, and closes those of no use. */
-  private tend(): void {
+  /** Opens missing links and closes those that are no longer needed. */
+  private reconcile(): void {
     if (this.signal.aborted) return;
-    const wanted = new Set<string>();
-    for (const service of this.used) {
-      if (this.own.has(service)) continue;
-      const ranked = this.rank(sharedWish(service));
-      for (const address of this.wantedOf(ranked)) wanted.add(address);
+    const desired = new Set<string>();
+    for (const service of this.usedServices) {
+      if (this.ownServices.has(service)) continue;
+      const ranked = this.rank(sharedRequirements(service));
+      for (const address of this.desiredAddresses(ranked)) desired.add(address);
     }
-    for (const address of wanted) this.open(address);
+    for (const address of desired) this.open(address);
     for (const [address, link] of this.links) {
-      const isNeeded = wanted.has(address) || link.pendingCount > 0;
+      const isNeeded = desired.has(address) || link.pendingCount > 0;
       if (!isNeeded && !this.addresses.has(address)) link.close();
     }
   }
 
-  /** The first ones in order, and one more for each that is of no use now. */
-  private wantedOf(ranked: readonly PoolerEntry[]): string[] {
-    const wanted: string[] = [];
-    let usable = 0;
+  /**
+   * The first poolers in rank, and one more for each that is not usable now.
+   */
+  private desiredAddresses(ranked: readonly PoolerEntry[]): string[] {
+    const desired: string[] = [];
+    let usableCount = 0;
     for (const {address} of ranked) {
-      if (usable >= KEPT_LINKS) break;
-      wanted.push(address);
+      if (usableCount >= MIN_USABLE_LINKS) break;
+      desired.push(address);
       const state = this.links.get(address)?.state;
-      const isUseless = state !== undefined && USELESS.has(state);
-      if (!isUseless && !this.paused.has(address)) usable++;
+      const isUnusable = state !== undefined && UNUSABLE_STATES.has(state);
+      if (!isUnusable && !this.reopenDelayed.has(address)) usableCount++;
     }
-    return wanted;
+    return desired;
   }
 
   private open(address: string): void {
-    if (this.links.has(address) || this.paused.has(address)) return;
+    if (this.links.has(address) || this.reopenDelayed.has(address)) return;
     const onDidClose = () => {
       if (this.links.get(address) !== link) return;
       this.links.delete(address);
-      this.paused.add(address);
+      this.reopenDelayed.add(address);
       this.lostAt.set(address, this.clock.now());
-      after(this.signal, RETRY_MS, () => {
-        this.paused.delete(address);
-        this.tend();
+      after(this.signal, REOPEN_DELAY_MS, () => {
+        this.reopenDelayed.delete(address);
+        this.reconcile();
       });
-      this.tend();
+      this.reconcile();
     };
     const link: PoolerLink = new PoolerLink(
       address,
@@ -220,6 +229,6 @@
   }
 }
 
-function sharedWish(service: string): PoolerRequirements {
+function sharedRequirements(service: string): PoolerRequirements {
   return {service, user: SHARED_USER, needsPrimary: false};
 }
--- a/src/services/pooler/node/pooler_link.ts
+++ b/src/services/pooler/node/pooler_link.ts
@@ -11,64 +11,69 @@
 import {PoolerWaits} from '../common/pooler_waits';
 import {POOLER_PROTOCOL} from './pooler_protocol';
 
-/** What is known of a pooler through its link. */
+/** The state of a pooler, as seen on its link. */
 export type LinkState =
-  /** Nothing was heard of it yet. */
+  /** Nothing was received yet. */
   | 'connecting'
   | 'ready'
-  /** It answers nothing at present, though something was asked. */
+  /** Requests are pending and nothing is received. */
   | 'silent'
-  /** It was silent a moment ago: used where there is no other. */
+  /** Silent until recently; used only if there is no other pooler. */
   | 'recovering'
-  /** It takes no new work. */
-  | 'leaving'
+  /** Accepts no new work. */
+  | 'draining'
   | 'closed';
 
-/** How an answer is waited for. */
+/** How a request is sent. */
 export interface SendOptions {
-  /** Sent elsewhere where the pooler falls silent; writes are not. */
+  /**
+   * Whether the request is sent to another pooler if this one falls silent; not
+   * set for writes.
+   */
   readonly isRetryable: boolean;
 }
 
-interface Waiting extends SendOptions {
-  settle(reply: WorkReply | undefined): void;
+interface PendingRequest extends SendOptions {
+  resolve(reply: WorkReply | undefined): void;
 }
 
-const LOOK_MS = 50;
-/** Without a word for so long, a pooler with work is asked for a sign, in ms. */
-const QUIET_MS = 120;
+const CHECK_INTERVAL_MS = 50;
+/** Silence after which a pooler with pending requests is pinged. */
+const PING_AFTER_MS = 120;
 /**
- * Without a word for so long it is silent: a way between regions and back
- * takes 40 ms, and a busy pooler's turn some tens of milliseconds; a statement
- * may take 800 ms in all, so a read has time for another pooler.
+ * Above the round trip between regions and the scheduling delay of a busy
+ * pooler, and below the statement limit, so that a read can be retried.
  */
-const SILENT_MS = 350;
+const SILENT_AFTER_MS = 350;
 /**
- * After it was silent, others go before it for so long, in ms: a pooler that is
- * too busy would else get new work at each sign of life.
+ * How long a pooler that was silent ranks behind others: an overloaded pooler
+ * would otherwise get new work whenever it answers.
  */
 const RECOVERY_MS = 1_000;
-/** A link that stays silent is closed and opened anew, in milliseconds. */
-const GIVE_UP_MS = 2_500;
-/** Statements that may be under way; more says that the pooler stalls. */
-const MOST_UNDER_WAY = 512;
+/** Silence after which a link is closed and reopened. */
+const CLOSE_AFTER_MS = 2_500;
+/** A pooler with more pending requests is stalled. */
+const MAX_PENDING_REQUESTS = 512;
 
-/** This proxy's stream to one pooler. */
+/** A stream to one pooler, with the requests that are pending on it. */
 export class PoolerLink {
   private readonly link: MessageLink<PoolerRequest, PoolerResponse>;
-  /** How long work waits at this pooler. */
+  /** The queue waits that this pooler reported. */
   readonly waits = new PoolerWaits();
-  private readonly waiting = new Map<number, Waiting>();
+  private readonly pending = new Map<number, PendingRequest>();
   private readonly ended;
-  /** Looks come while something is asked: a proxy has links to many poolers. */
-  private readonly wakeLook: () => void;
-  private heardAt: number;
-  private askedAt: number | undefined;
-  private heard = false;
+  /**
+   * Checks run only while requests are pending: a proxy has links to many
+   * poolers.
+   */
+  private readonly wakeCheck: () => void;
+  private receivedAt: number;
+  private pendingSince: number | undefined;
+  private isOpen = false;
   private silentAt = -Infinity;
-  private leaving = false;
-  private closed = false;
-  private works = 0;
+  private isDraining = false;
+  private hasEnded = false;
+  private lastWorkId = 0;
 
   constructor(
     readonly address: string,
@@ -78,136 +83,140 @@
     private readonly onDidClose: () => void,
   ) {
     this.ended = childController(signal);
-    this.heardAt = clock.now();
+    this.receivedAt = clock.now();
     this.link = openLink(address, POOLER_PROTOCOL, signal);
     this.link.start({
       onDidReceive: message => this.onMessage(message),
       onDidEnd: reason => this.end(reason),
     });
     this.ended.signal.addEventListener('abort', () => this.end('stopped'));
-    const periods = {busyMs: LOOK_MS, restMs: Infinity};
-    this.wakeLook = everyWhileBusy(this.ended.signal, periods, () => {
-      this.look();
-      return this.askedAt !== undefined;
+    const periods = {busyMs: CHECK_INTERVAL_MS, restMs: Infinity};
+    this.wakeCheck = everyWhileBusy(this.ended.signal, periods, () => {
+      this.check();
+      return this.pendingSince !== undefined;
     });
-    this.askForSign();
+    this.ping();
   }
 
   get state(): LinkState {
-    if (this.closed) return 'closed';
-    if (!this.heard) return 'connecting';
-    if (this.quietMs > SILENT_MS) return 'silent';
-    if (this.leaving) return 'leaving';
+    if (this.hasEnded) return 'closed';
+    if (!this.isOpen) return 'connecting';
+    if (this.silentMs > SILENT_AFTER_MS) return 'silent';
+    if (this.isDraining) return 'draining';
     const sinceSilent = this.clock.now() - this.silentAt;
     return sinceSilent < RECOVERY_MS ? 'recovering' : 'ready';
   }
 
-  /** Statements that were sent and not answered. */
+  /** Number of requests without a reply. */
   get pendingCount(): number {
-    return this.waiting.size;
+    return this.pending.size;
   }
 
-  /** A name for new work on this link. */
+  /** Returns the id of a new request on this link. */
   nextWorkId(): number {
-    return ++this.works;
+    return ++this.lastWorkId;
   }
 
-  /** Sends a statement; undefined where its answer will not come. */
+  /** Sends a request; resolves with undefined if no reply will come. */
   send(
     request: WorkRequest,
-    terms: SendOptions,
+    options: SendOptions,
   ): Promise<WorkReply | undefined> {
-    if (this.closed || this.waiting.size >= MOST_UNDER_WAY) {
+    if (this.hasEnded || this.pending.size >= MAX_PENDING_REQUESTS) {
       return Promise.resolve(undefined);
     }
-    this.noteAsked();
+    this.expectReply();
     return new Promise(resolve => {
-      this.waiting.set(request.work, {...terms, settle: resolve});
+      this.pending.set(request.work, {...options, resolve});
       this.write({$case: 'work', value: request});
     });
   }
 
-  /** Tells the pooler that nothing more is wanted of a piece of work. */
+  /** Cancels a request at the pooler and resolves it with undefined. */
   cancel(work: number): void {
-    this.settle(work, undefined);
+    this.complete(work, undefined);
     this.write({$case: 'abandoned', value: {work}});
   }
 
   close(): void {
-    this.end('not needed any more');
+    this.end('no longer needed');
   }
 
-  /** How long a question has been without any word, in milliseconds. */
-  private get quietMs(): number {
-    if (this.askedAt === undefined) return 0;
-    return this.clock.now() - Math.max(this.askedAt, this.heardAt);
+  /**
+   * Time without any message since the oldest pending request, in milliseconds.
+   */
+  private get silentMs(): number {
+    if (this.pendingSince === undefined) return 0;
+    return this.clock.now() - Math.max(this.pendingSince, this.receivedAt);
   }
 
-  private look(): void {
-    const {quietMs} = this;
-    if (quietMs > GIVE_UP_MS) return this.end('silent');
-    if (quietMs > SILENT_MS) return this.onSilence();
-    if (quietMs > QUIET_MS) this.askForSign();
+  private check(): void {
+    const {silentMs} = this;
+    if (silentMs > CLOSE_AFTER_MS) return this.end('silent');
+    if (silentMs > SILENT_AFTER_MS) return this.onDidFallSilent();
+    if (silentMs > PING_AFTER_MS) this.ping();
   }
 
-  private askForSign(): void {
-    this.noteAsked();
+  private ping(): void {
+    this.expectReply();
     this.write({$case: 'alive', value: {}});
   }
 
-  private noteAsked(): void {
-    this.askedAt ??= this.clock.now();
-    this.wakeLook();
+  private expectReply(): void {
+    this.pendingSince ??= this.clock.now();
+    this.wakeCheck();
   }
 
-  private onSilence(): void {
+  private onDidFallSilent(): void {
     this.silentAt = this.clock.now();
-    for (const [work, {isRetryable}] of [...this.waiting]) {
+    for (const [work, {isRetryable}] of [...this.pending]) {
       if (isRetryable) this.cancel(work);
     }
   }
 
   private onMessage({body}: PoolerResponse): void {
-    this.heardAt = this.clock.now();
-    this.noteHeard();
+    this.receivedAt = this.clock.now();
+    this.onFirstMessage();
     switch (body?.$case) {
       case 'reply':
-        this.waits.update(body.value.waits, this.heardAt);
-        this.settle(body.value.work, body.value);
+        this.waits.update(body.value.waits, this.receivedAt);
+        this.complete(body.value.work, body.value);
         break;
       case 'leaving':
-        this.leaving = true;
-        this.log.info('A pooler takes no new work.', {address: this.address});
+        this.isDraining = true;
+        this.log.info('A pooler is draining and accepts no new work.', {
+          address: this.address,
+        });
         break;
       case 'alive':
         break;
     }
-    if (this.waiting.size === 0) this.askedAt = undefined;
+    if (this.pending.size === 0) this.pendingSince = undefined;
   }
 
-  private noteHeard(): void {
-    if (this.heard) return;
-    this.heard = true;
-    this.log.info('Reaches a pooler.', {address: this.address});
+  private onFirstMessage(): void {
+    if (this.isOpen) return;
+    this.isOpen = true;
+    this.log.info('Connected to a pooler.', {address: this.address});
   }
 
-  private settle(work: number, reply: WorkReply | undefined): void {
-    const waiting = this.waiting.get(work);
-    this.waiting.delete(work);
-    waiting?.settle(reply);
+  private complete(work: number, reply: WorkReply | undefined): void {
+    const request = this.pending.get(work);
+    this.pending.delete(work);
+    request?.resolve(reply);
   }
 
   private write(body: PoolerRequest['body']): void {
-    if (!this.closed) this.link.write({body});
+    if (!this.hasEnded) this.link.write({body});
   }
 
   private end(reason: string): void {
-    if (this.closed) return;
-    this.closed = true;
+    if (this.hasEnded) return;
+    this.hasEnded = true;
     const {address} = this;
-    const work = this.waiting.size;
-    if (this.heard) this.log.info('Lost a pooler.', {address, reason, work});
-    for (const id of [...this.waiting.keys()]) this.settle(id, undefined);
+    const work = this.pending.size;
+    if (this.isOpen) this.log.info('Lost a pooler.', {address, reason, work});
+    for (const id of [...this.pending.keys()]) this.complete(id, undefined);
     this.ended.abort();
     this.link.end();
     this.onDidClose();
--- a/src/services/pooler/node/pooler_selector.ts
+++ b/src/services/pooler/node/pooler_selector.ts
@@ -8,70 +8,72 @@
 import type {PoolerDirectory} from './pooler_directory';
 import type {PoolerLink} from './pooler_link';
 
-/** New work, before it is sent to a pooler. */
-export interface NewWork {
+/** A request that has not been sent to a pooler yet. */
+export interface UnsentRequest {
   readonly route: DatabaseRoute;
-  readonly wish: PoolerRequirements;
-  readonly since: number;
+  readonly requirements: PoolerRequirements;
+  readonly receivedAt: number;
   readonly deadline: number;
   readonly requestId: string;
 }
 
 /**
- * A proxy does not know how fast a pooler's queue drains: its own share of that
- * is about one request in this time, in milliseconds.
+ * A proxy does not know how fast a pooler's queue drains; its own share is
+ * about one request per interval.
  */
-const RETURN_INTERVAL_MS = 10;
+const RETRY_INTERVAL_MS = 10;
 
 /**
- * Decides where new work goes by what poolers said of their waits, before any
- * message. What would wait too long everywhere is refused here.
+ * Selects poolers by the waits that they reported, before a request is sent. A
+ * request that would be late at all of them is refused.
  */
 export class PoolerSelector {
-  private readonly returns = new RetryPacer();
+  private readonly retryPacer = new RetryPacer();
 
   constructor(private readonly directory: PoolerDirectory) {}
 
-  /** The link to use, or the refusal of work that then did not run. */
+  /** Returns the link to use, or the refusal of a request that did not run. */
   select(
     context: SessionContext,
     first: PoolerLink,
-    work: NewWork,
+    request: UnsentRequest,
   ): PoolerLink | CheckoutRefusal {
-    const {route, wish} = work;
+    const {route, requirements} = request;
     const {classes, clock, telemetry, caller} = context;
     if (!classes.isEnabled(route.service)) return first;
     const now = clock.now();
     const {service, priority} = route;
-    const question = {service, priority, needsPrimary: wish.needsPrimary};
-    const offerOf = (link: PoolerLink) => {
-      return {link, waitMs: link.waits.expectedWaitMs(question, now)};
+    const query = {service, priority, needsPrimary: requirements.needsPrimary};
+    const loadOf = (link: PoolerLink) => {
+      return {link, waitMs: link.waits.expectedWaitMs(query, now)};
     };
-    const offer = offerOf(first);
-    if (offer.waitMs === 0) return first;
-    const others = this.directory.readyLinks(wish).map(offerOf);
-    const roomMs = classes.maxWaitBudgetMs(termsOf(context, work, now));
-    const choice = selectByWait(offer, others, roomMs);
-    if (choice.kind === 'send') return choice.link;
-    const {link, waitMs} = choice.load;
-    const expected = Math.round(waitMs);
-    const detail = `expected=${expected} room=${Math.round(roomMs)} word=${link.address}`;
-    const retryMs = this.returns.nextDelayMs(now, waitMs, RETURN_INTERVAL_MS);
+    const firstLoad = loadOf(first);
+    if (firstLoad.waitMs === 0) return first;
+    const others = this.directory.readyLinks(requirements).map(loadOf);
+    const maxWaitMs = classes.maxWaitBudgetMs(
+      budgetInputsOf(context, request, now),
+    );
+    const selection = selectByWait(firstLoad, others, maxWaitMs);
+    if (selection.kind === 'send') return selection.link;
+    const {link, waitMs} = selection.load;
+    const expectedMs = Math.round(waitMs);
+    const detail = `expected=${expectedMs} maxWait=${Math.round(maxWaitMs)} source=${link.address}`;
+    const retryMs = this.retryPacer.nextDelayMs(now, waitMs, RETRY_INTERVAL_MS);
     const retryAfterMs = Math.ceil(retryMs);
     const refusal = {reason: 'overloaded', retryAfterMs, detail} as const;
-    const name = {request: work.requestId, caller};
-    telemetry.recordRefusal(name, route, refusal, 0);
+    const source = {request: request.requestId, caller};
+    telemetry.recordRefusal(source, route, refusal, 0);
     return refusal;
   }
 }
 
-function termsOf(
+function budgetInputsOf(
   context: SessionContext,
-  {route, since, deadline}: NewWork,
+  {route, receivedAt, deadline}: UnsentRequest,
   now: number,
 ): WaitBudgetInputs {
   const {objectiveMs} = route;
-  const dueAt = since - context.startupWaitMs() + objectiveMs;
+  const dueAt = receivedAt - context.startupWaitMs() + objectiveMs;
   const times = {
     statementTimeLeftMs: deadline - now,
     dueInMs: dueAt - now,
--- a/src/services/pooler/node/pooler_server.ts
+++ b/src/services/pooler/node/pooler_server.ts
@@ -16,10 +16,10 @@
 
 type Link = MessageLink<PoolerResponse, PoolerRequest>;
 
-/** A pooler's side: serves the proxies that send it their callers' work. */
+/** The server side of a pooler: runs the requests of other proxies. */
 export class PoolerServer {
-  private readonly peers = new Set<Peer>();
-  private leaving = false;
+  private readonly peers = new Set<ProxyPeer>();
+  private isDraining = false;
 
   constructor(
     private readonly gateway: Gateway,
@@ -27,50 +27,56 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Takes the links of other proxies. */
+  /** Accepts the links of other proxies. */
   serve(server: MessageServer): void {
-    server.serve(POOLER_PROTOCOL, link => this.onServe(link));
+    server.serve(POOLER_PROTOCOL, link => this.onDidConnect(link));
   }
 
-  /** Statements and transactions of other proxies that are under way. */
+  /**
+   * Number of statements and transactions of other proxies that are running.
+   */
   get workCount(): number {
     let count = 0;
     for (const peer of this.peers) count += peer.workCount;
     return count;
   }
 
-  /** Asks the other proxies for no new work; what is under way goes on. */
+  /** Asks the other proxies to send no new work; running work continues. */
   drain(): void {
-    this.leaving = true;
-    for (const peer of this.peers) peer.sayLeaving();
+    this.isDraining = true;
+    for (const peer of this.peers) peer.announceDrain();
   }
 
-  /** Undoes the transactions that are still open. */
+  /** Rolls back all open transactions. */
   abortAll(): void {
-    for (const peer of this.peers) peer.giveUpAll('this instance stops');
+    for (const peer of this.peers) peer.cancelAll('this instance stops');
   }
 
-  private onServe(link: Link): void {
-    const peer = new Peer(link, this.gateway, this.signal);
+  private onDidConnect(link: Link): void {
+    const peer = new ProxyPeer(link, this.gateway, this.signal);
     this.peers.add(peer);
     const address = link.peer;
-    this.log.info('A proxy sends its work here.', {address});
+    this.log.info('A proxy connected to this pooler.', {address});
     link.start({
       onDidReceive: message => peer.onMessage(message),
       onDidEnd: reason => {
         this.peers.delete(peer);
         const {workCount} = peer;
-        this.log.info('A proxy left.', {address, reason, work: workCount});
+        this.log.info('A proxy disconnected from this pooler.', {
+          address,
+          reason,
+          work: workCount,
+        });
         peer.end();
       },
     });
-    if (this.leaving) peer.sayLeaving();
+    if (this.isDraining) peer.announceDrain();
   }
 }
 
-/** One proxy's link and the work that came on it. */
-class Peer {
-  private readonly works = new Map<number, PooledWork>();
+/** The link of one proxy and its running work. */
+class ProxyPeer {
+  private readonly running = new Map<number, PooledWork>();
   private readonly report = new WaitReport();
   private readonly ended;
 
@@ -83,24 +89,25 @@
   }
 
   get workCount(): number {
-    return this.works.size;
+    return this.running.size;
   }
 
-  sayLeaving(): void {
+  announceDrain(): void {
     this.write({$case: 'leaving', value: {}});
   }
 
-  giveUpAll(reason: string): void {
-    for (const work of this.works.values()) work.cancel(reason);
+  cancelAll(reason: string): void {
+    for (const work of this.running.values()) work.cancel(reason);
   }
 
   /**
-   * Guard: a proxy that is gone, or cut off, can commit nothing any more; its
-   * transactions would hold connections until the members' own limits.
+   * Guard: a lost or partitioned proxy cannot commit any more; without a
+   * rollback, its transactions would hold connections until the limits of the
+   * members.
    */
   end(): void {
-    this.giveUpAll('the proxy that sent it is gone');
-    this.works.clear();
+    this.cancelAll('the proxy that sent it is gone');
+    this.running.clear();
     this.ended.abort();
   }
 
@@ -110,8 +117,8 @@
         return this.onWork(body.value);
       case 'abandoned': {
         const {work} = body.value;
-        this.works.get(work)?.cancel('its proxy gave it up');
-        this.works.delete(work);
+        this.running.get(work)?.cancel('its proxy gave it up');
+        this.running.delete(work);
         return;
       }
       case 'alive':
@@ -121,11 +128,11 @@
 
   private onWork(request: WorkRequest): void {
     const {work: id} = request;
-    const known = this.works.get(id);
-    const work = known ?? new PooledWork(this.gateway, this.ended.signal);
-    this.works.set(id, work);
+    const existing = this.running.get(id);
+    const work = existing ?? new PooledWork(this.gateway, this.ended.signal);
+    this.running.set(id, work);
     work.run(request, reply => {
-      if (work.isOver && this.works.get(id) === work) this.works.delete(id);
+      if (work.isOver && this.running.get(id) === work) this.running.delete(id);
       const waits = this.waitsFor(work);
       this.write({$case: 'reply', value: encodeReply(id, reply, waits)});
     });
--- a/src/services/pooler/test/common/pooler_plan.test.ts
+++ b/src/services/pooler/test/common/pooler_plan.test.ts
@@ -25,28 +25,27 @@
 };
 
 describe('planPoolers', () => {
-  it('lets each proxy serve alone where there are few of them', () => {
+  it('assigns no poolers where proxies are few', () => {
     expect(planPoolers(makeServices(3, 16), makeProxies(6), [])).toEqual([]);
     expect(planPoolers(makeServices(3, 39), makeProxies(9), [])).toEqual([]);
   });
 
-  it('lets a few proxies serve alone when some are added', () => {
-    // Three instances join the six of a small site. Two poolers for nine
-    // proxies of three regions had seven connections each to a primary 40 ms
-    // away; 2 % of the requests waited for one in vain, on a calm day.
+  it('assigns no poolers after a few proxies join a small fleet', () => {
+    // A few instances join a small fleet. With few poolers in distant regions,
+    // requests would wait in vain for one of their connections to a primary.
     const proxies = makeProxies(9).map((proxy, at) => {
       return {...proxy, site: SITES[(at % 3) * 2]!};
     });
     expect(planPoolers(makeServices(3, 16), proxies, [])).toEqual([]);
   });
 
-  it('gives each proxy about one part where connections are many', () => {
+  it('gives each proxy about one role where connections are many', () => {
     const plan = planPoolers(makeServices(6, 206), makeProxies(82), []);
     expect(plan).toHaveLength(78);
     expect(new Set(plan.map(({instance}) => instance)).size).toBe(78);
   });
 
-  it('spreads a service over the sites and its poolers over proxies', () => {
+  it('spreads a service over sites and its poolers over proxies', () => {
     const plan = planPoolers(makeServices(6, 32), makeProxies(63), []);
     expect(plan).toHaveLength(36);
     const sites = plan.filter(({service}) => service === 's0');
@@ -54,25 +53,24 @@
     expect(new Set(plan.map(({instance}) => instance)).size).toBe(36);
   });
 
-  it('gives each site a pooler though each gets few connections', () => {
-    // 68 proxies of six sites share 21 connections to a primary. Five for each
-    // pooler made four poolers, which is none at all: each proxy opened and
-    // closed its own, and half of the bookings found no connection in time.
+  it('assigns a pooler in each site though each gets few connections', () => {
+    // Many proxies share few connections to a primary. Without poolers, each
+    // proxy opens its own ones and requests find none in time.
     const plan = planPoolers(makeServices(6, 23), makeProxies(68), []);
     expect(plan).toHaveLength(36);
     const sites = plan.filter(({service}) => service === 's0');
     expect(new Set(sites.map(({site}) => site)).size).toBe(6);
   });
 
-  it('names none where a site would be left with too few', () => {
+  it('assigns none where a site would get too few connections', () => {
     expect(planPoolers(makeServices(6, 19), makeProxies(68), [])).toEqual([]);
   });
 
-  it('leaves a plan as it is while nothing changes', () => {
-    // Control looks at the plan several times a second. If a proxy's second
-    // part went elsewhere at each look, its connections would be opened anew.
+  it('keeps a plan while nothing changes', () => {
+    // The plan is computed repeatedly. If it moved roles each time, their
+    // connections would be reopened each time.
     const random = new SeededRandom(7);
-    const upTo = (most: number) => random.integer(0, most - 1);
+    const upTo = (count: number) => random.integer(0, count - 1);
     for (let round = 0; round < 500; round++) {
       const proxies = makeProxies(5 + upTo(90)).map(proxy => {
         return {...proxy, site: SITES[Math.min(upTo(6), upTo(6))]!};
@@ -83,9 +81,9 @@
     }
   });
 
-  it('moves only what a proxy kept that is gone', () => {
-    // One proxy of 63 restarts. If the whole plan were made anew, most
-    // connections to the members would be closed and opened at once.
+  it('moves only the roles of a proxy that is gone', () => {
+    // One proxy restarts. A completely new plan would reopen most connections
+    // to the members at once.
     const proxies = makeProxies(63);
     const services = makeServices(6, 32);
     const plan = planPoolers(services, proxies, []);
@@ -100,21 +98,20 @@
 });
 
 describe('planPoolers after a loss', () => {
-  it('takes parts from poolers that have too many of them', () => {
-    // All proxies restart, and the first one of a region gets the parts of all
-    // services there. Its link of 2 Mbit/s carried the work of 20 proxies: a
-    // quarter of the requests failed for as long as it kept them.
+  it('takes roles from poolers that have too many', () => {
+    // All proxies restart, and the first one of a region gets the roles of all
+    // services there. Its link is overloaded for as long as it keeps them.
     const proxies = makeProxies(63);
     const services = makeServices(6, 32);
-    const early = proxies[0]!;
-    const first = services.map(({service}) => ({service, ...early}));
+    const earlyProxy = proxies[0]!;
+    const first = services.map(({service}) => ({service, ...earlyProxy}));
     const all = planPoolers(services, proxies, first);
     expect(all).toHaveLength(36);
-    const parts = all.map(({instance}) => instance);
-    expect(new Set(parts).size).toBe(36);
+    const instances = all.map(({instance}) => instance);
+    expect(new Set(instances).size).toBe(36);
   });
 
-  it('gives a site its parts back that was away', () => {
+  it('returns roles to a site that was away', () => {
     const proxies = makeProxies(63);
     const services = makeServices(1, 32);
     const rest = proxies.filter(({site}) => site !== 'a1' && site !== 'a2');
@@ -129,64 +126,62 @@
   const services = makeServices(6, 32);
   const proxies = makeProxies(63);
 
-  it('waits for the proxies before it names the first poolers', () => {
+  it('waits for proxies before it assigns the first poolers', () => {
     const planner = new PoolerPlanner(0);
     expect(planner.plan(services, proxies, [], 900)).toBeUndefined();
     expect(planner.plan(services, proxies, [], 1_000)).toHaveLength(36);
   });
 
-  it('keeps the part of a pooler that is away for a moment', () => {
-    // A stream to control breaks: the pooler itself serves on. Moved at once,
-    // its connections would be opened elsewhere while it still has them, and
-    // the members would be full.
+  it('keeps the role of a pooler that is disconnected briefly', () => {
+    // The stream to control breaks and the pooler goes on serving. Moved at
+    // once, its connections would be opened elsewhere while it still holds
+    // them, and exceed the limits of the members.
     const planner = new PoolerPlanner(0);
-    const named = planner.plan(services, proxies, [], 1_000)!;
-    const gone = named[0]!.instance;
+    const assigned = planner.plan(services, proxies, [], 1_000)!;
+    const gone = assigned[0]!.instance;
     const rest = proxies.filter(({instance}) => instance !== gone);
-    expect(planner.plan(services, rest, named, 1_500)).toBeUndefined();
-    expect(planner.plan(services, rest, named, 4_400)).toBeUndefined();
-    const next = planner.plan(services, rest, named, 4_500)!;
+    expect(planner.plan(services, rest, assigned, 1_500)).toBeUndefined();
+    expect(planner.plan(services, rest, assigned, 4_400)).toBeUndefined();
+    const next = planner.plan(services, rest, assigned, 4_500)!;
     expect(next).toHaveLength(36);
     expect(next.some(({instance}) => instance === gone)).toBe(false);
   });
 
-  it('leaves poolers in place while a new leader waits for them', () => {
-    // The leader freezes. Another one is elected within a second, but its
-    // proxies notice the freeze up to 2 s later. Without the others, the first
-    // ones to come were named for everything, again and again: all proxies
-    // dropped their poolers, with what was under way there.
-    const named = new PoolerPlanner(0).plan(services, proxies, [], 1_000)!;
+  it('keeps the poolers while a new leader waits for them', () => {
+    // After an election, proxies take a while to reconnect. If the first ones
+    // were assigned all roles meanwhile, all proxies would drop their poolers
+    // and the work in progress there.
+    const assigned = new PoolerPlanner(0).plan(services, proxies, [], 1_000)!;
     const planner = new PoolerPlanner(5_000);
     for (let count = 0; count < 63; count += 7) {
       const now = 6_000 + count * 30;
       const some = proxies.slice(0, count);
-      expect(planner.plan(services, some, named, now)).toBeUndefined();
+      expect(planner.plan(services, some, assigned, now)).toBeUndefined();
     }
   });
 });
 
-describe('a plan that is looked at again and again', () => {
-  it('is made anew only where something changed', () => {
-    // Load: 340 services and 200 proxies, as before 300 machines. The leader
-    // looks five times a second, and each look took 79 ms of a processor of
-    // which it has 0.4.
+describe('a plan that is requested repeatedly', () => {
+  it('is computed only if something changed', () => {
+    // Load: hundreds of services and proxies. Computing the plan on each tick
+    // would take most of the processor time of the leader.
     const services = makeServices(340, 39);
     const proxies = makeProxies(200);
     const planner = new PoolerPlanner(0);
-    const named = planner.plan(services, proxies, [], 1_000)!;
-    expect(planner.plan(services, proxies, named, 1_200)).toBeUndefined();
-    const looked: string[] = [];
+    const assigned = planner.plan(services, proxies, [], 1_000)!;
+    expect(planner.plan(services, proxies, assigned, 1_200)).toBeUndefined();
+    const reads: string[] = [];
     const watched = proxies.map(proxy => ({
       ...proxy,
       get site() {
-        looked.push(proxy.instance);
+        reads.push(proxy.instance);
         return proxy.site;
       },
     }));
-    expect(planner.plan(services, watched, named, 1_400)).toBeUndefined();
-    expect(looked).toEqual([]);
+    expect(planner.plan(services, watched, assigned, 1_400)).toBeUndefined();
+    expect(reads).toEqual([]);
     const fewer = proxies.slice(1);
-    planner.plan(services, fewer, named, 1_600);
-    expect(planner.plan(services, fewer, named, 9_000)).toBeDefined();
+    planner.plan(services, fewer, assigned, 1_600);
+    expect(planner.plan(services, fewer, assigned, 9_000)).toBeDefined();
   });
 });
--- a/src/services/pooler/test/common/pooler_ranking.test.ts
+++ b/src/services/pooler/test/common/pooler_ranking.test.ts
@@ -8,7 +8,7 @@
   type ProxyLocation,
 } from '../../common/pooler_ranking';
 
-/** Sites are named by their region and a number. */
+/** The first letter of a site is its region. */
 const SITES = ['a1', 'a2', 'b1', 'b2', 'c1', 'c2'];
 
 const POOLERS: readonly PoolerEntry[] = SITES.map(site => ({
@@ -18,7 +18,7 @@
   site,
 }));
 
-function makePlace(site: string, primaryRegion?: string): ProxyLocation {
+function makeLocation(site: string, primaryRegion?: string): ProxyLocation {
   return {
     instance: `proxy-${site}`,
     site,
@@ -27,70 +27,72 @@
   };
 }
 
-function makeWish(user: string, needsPrimary = false): PoolerRequirements {
+function makeRequirements(
+  user: string,
+  needsPrimary = false,
+): PoolerRequirements {
   return {service: 's0', user: memberUser(user), needsPrimary};
 }
 
 const ACCOUNTS = Array.from({length: 74}, (...[, at]) => `account-${at}`);
 
-describe('the poolers of shared connections', () => {
-  it('go from the own site to the region and to the others', () => {
-    const ranked = new NearestPoolerRanking(makePlace('a2')).rank(
+describe('the ranking of poolers for shared connections', () => {
+  it('starts with the own site, then the own region', () => {
+    const ranked = new NearestPoolerRanking(makeLocation('a2')).rank(
       POOLERS,
-      makeWish('anybody'),
+      makeRequirements('anybody'),
     );
     const sites = ranked.map(({site}) => site);
     expect(sites.slice(0, 2)).toEqual(['a2', 'a1']);
   });
 });
 
-describe('the poolers of an account', () => {
+describe('the ranking of poolers for an account', () => {
   const firstFrom = (
     site: string,
-    wish: PoolerRequirements,
+    requirements: PoolerRequirements,
     primary?: string,
   ) => {
-    const choice = new AccountAffinityRanking(makePlace(site, primary));
-    return choice.rank(POOLERS, wish)[0]!.site;
+    const ranking = new AccountAffinityRanking(makeLocation(site, primary));
+    return ranking.rank(POOLERS, requirements)[0]!.site;
   };
 
-  it('are the same for all proxies of a region', () => {
+  it('is the same for all proxies of a region', () => {
     for (const account of ACCOUNTS) {
-      const wish = makeWish(account);
-      expect(firstFrom('b1', wish)).toBe(firstFrom('b2', wish));
-      expect(firstFrom('b1', wish)[0]).toBe('b');
+      const requirements = makeRequirements(account);
+      expect(firstFrom('b1', requirements)).toBe(firstFrom('b2', requirements));
+      expect(firstFrom('b1', requirements)[0]).toBe('b');
     }
   });
 
-  it('are where the primary is for work that needs it', () => {
+  it('starts in the region of the primary for requests that need it', () => {
     for (const account of ACCOUNTS) {
-      const wish = makeWish(account, true);
-      const first = firstFrom('a1', wish, 'c');
+      const requirements = makeRequirements(account, true);
+      const first = firstFrom('a1', requirements, 'c');
       expect(first[0]).toBe('c');
-      expect(firstFrom('b2', wish, 'c')).toBe(first);
+      expect(firstFrom('b2', requirements, 'c')).toBe(first);
     }
   });
 
-  it('are spread evenly, and take few connections a pooler', () => {
-    // Load: 74 accounts before members that take 39 connections. Two poolers of
-    // a region then serve 37 accounts each with 18 connections to its member;
-    // with a pooler of its own in each site, each served 74 with 6.
+  it('spreads the accounts evenly over the poolers', () => {
+    // Load: many accounts share the few connections of a member. Spread over
+    // all sites, each pooler would open connections for all accounts.
     const counts = new Map<string, number>();
     for (const account of ACCOUNTS) {
-      const first = firstFrom('a1', makeWish(account));
+      const first = firstFrom('a1', makeRequirements(account));
       counts.set(first, (counts.get(first) ?? 0) + 1);
     }
-    const most = Math.max(...counts.values());
+    const largest = Math.max(...counts.values());
     expect(counts.size).toBe(2);
-    expect(most).toBeLessThan(50);
+    expect(largest).toBeLessThan(50);
   });
 
-  it('change for few accounts when a pooler is lost', () => {
+  it('changes only for the accounts of a lost pooler', () => {
     const without = POOLERS.filter(({site}) => site !== 'a1');
-    const choice = new AccountAffinityRanking(makePlace('a2'));
+    const ranking = new AccountAffinityRanking(makeLocation('a2'));
     for (const account of ACCOUNTS) {
-      const before = choice.rank(POOLERS, makeWish(account))[0]!.site;
-      const after = choice.rank(without, makeWish(account))[0]!.site;
+      const before = ranking.rank(POOLERS, makeRequirements(account))[0]!.site;
+      const after = ranking.rank(without, makeRequirements(account))[0]!.site;
       if (before !== 'a1') expect(after).toBe(before);
     }
   });
--- a/src/services/pooler/test/node/pooler.test.ts
+++ b/src/services/pooler/test/node/pooler.test.ts
@@ -32,7 +32,7 @@
   }),
 ]);
 
-/** Takes links whose messages can be left unread. */
+/** A server that can stop reading from its links. */
 class FreezableServer extends MessageServer {
   private readonly onDidFreeze: (() => void)[] = [];
 
@@ -42,7 +42,7 @@
   ): void {
     super.serve(protocol, (link: MessageLink<A, Q>) => {
       onDidConnect(link);
-      // A frozen process reads nothing; what its peers say waits for it.
+      // A frozen process reads nothing; its peers' messages stay unread.
       const unread = {onDidReceive: () => {}, onDidEnd: () => {}};
       this.onDidFreeze.push(() => link.start(unread));
     });
@@ -53,14 +53,14 @@
   }
 }
 
-/** A proxy that keeps connections for others. */
+/** A proxy with the server side of a pooler. */
 class TestPooler {
   readonly stop = ownController();
   readonly gateway: TestGateway;
   readonly server: PoolerServer;
   readonly limits = new FakeLimits();
   address = '';
-  private readonly links: FreezableServer;
+  private readonly messageServer: FreezableServer;
 
   constructor(
     readonly instance: string,
@@ -76,12 +76,15 @@
       logged.log,
       this.stop.signal,
     );
-    this.links = new FreezableServer(logged.log);
+    this.messageServer = new FreezableServer(logged.log);
   }
 
   async start(): Promise<void> {
-    this.server.serve(this.links);
-    const port = await this.links.listen('127.0.0.1:0', this.stop.signal);
+    this.server.serve(this.messageServer);
+    const port = await this.messageServer.listen(
+      '127.0.0.1:0',
+      this.stop.signal,
+    );
     if (port.isErr) throw port.error;
     this.address = `127.0.0.1:${port.value}`;
   }
@@ -91,9 +94,9 @@
     return {service: 'books', instance, address, site: instance};
   }
 
-  /** Takes requests and neither runs nor answers them. */
+  /** Accepts requests and neither runs nor answers them. */
   freeze(): void {
-    this.links.freeze();
+    this.messageServer.freeze();
   }
 
   end(): void {
@@ -106,7 +109,7 @@
 let near: TestPooler;
 let far: TestPooler;
 let edge: TestGateway;
-/** The members as the proxy without connections reaches them itself. */
+/** The members as seen by the proxy without pooled connections. */
 let edgeGroup: FakeGroup;
 let directory: PoolerDirectory;
 let stop: AbortController;
@@ -156,7 +159,7 @@
   await caller.send(COMMIT);
 }
 
-/** Why work was refused at a pooler. */
+/** The reasons of the refusals at a pooler. */
 function refusalsAt({gateway}: TestPooler): unknown[] {
   const refused = gateway.captured.lines.filter(line => {
     return line.startsWith('Refused, not run.');
@@ -182,16 +185,16 @@
     expect(near.server.workCount).toBe(0);
   });
 
-  it('counts towards the limit of its account here, and not there', async () => {
-    // Counted at both, an account would get half of what it may.
+  it('counts towards the account limit at the proxy only', async () => {
+    // Counted at both, an account would get half of its limit.
     await edgeRun();
     expect(edgeLimits.admitted).toHaveLength(2);
     expect(near.limits.admitted).toEqual([]);
   });
 
-  it('reads its own commit, which it made through a pooler', async () => {
-    // A session writes and reads at once. The replicas lag; a pooler that did
-    // not hear of the session's own commit would read without it.
+  it('reads its own commit that was made through a pooler', async () => {
+    // A session reads right after a write while the replicas lag. A pooler that
+    // does not know of the commit would read without it.
     const caller = new TestCaller(edge, 'db');
     const written = await caller.send(WRITE);
     expect(written.position).toEqual(group.member('a').position);
@@ -199,7 +202,7 @@
     expect(group.executed.at(-1)!.instance).toBe('a');
   });
 
-  it('brings its values and prepared statements along', async () => {
+  it('sends its values and prepared statements to the pooler', async () => {
     const caller = new TestCaller(edge, 'db');
     await caller.send({kind: 'set', name: 'zone', value: '1'});
     await caller.send({
@@ -216,7 +219,7 @@
     expect(group.executed.map(({values}) => values)).toEqual(['zone=1', '']);
   });
 
-  it('keeps nothing of a transaction that its caller rolls back', async () => {
+  it('rolls back a transaction at the pooler', async () => {
     const caller = new TestCaller(edge, 'db');
     const before = group.member('a').position;
     await caller.send(BEGIN);
@@ -227,9 +230,9 @@
     expect(near.server.workCount).toBe(0);
   });
 
-  it('gives the connection back when its caller leaves', async () => {
-    // A caller leaves in the middle of a transaction. The pooler would hold
-    // the connection, one of a few for all proxies, for nobody.
+  it('releases the connection when its caller disconnects', async () => {
+    // A caller disconnects within a transaction. The pooler would hold one of
+    // the few connections for nobody.
     const caller = new TestCaller(edge, 'db');
     await caller.send(BEGIN);
     await caller.send(WRITE);
@@ -239,11 +242,10 @@
   });
 });
 
-describe('work that waits at a pooler', () => {
-  it('leaves the queue with its caller', async () => {
-    // There is no primary for a moment, so a write waits at the pooler. Its
-    // caller leaves. Once there is a primary again, the write would get one of
-    // the few connections and run for nobody, while others wait.
+describe('a request that is queued at a pooler', () => {
+  it('leaves the queue when its caller disconnects', async () => {
+    // A write waits for a primary and its caller disconnects. Once there is a
+    // primary, the write would use a scarce connection and run for nobody.
     near.gateway.setPrimary('');
     const caller = new TestCaller(edge, 'db');
     void caller.send(WRITE);
@@ -258,7 +260,7 @@
     expect(group.callerStatements).toEqual([]);
   });
 
-  it('leaves the queue with the proxy that sent it', async () => {
+  it('leaves the queue when its proxy is lost', async () => {
     near.gateway.setPrimary('');
     void new TestCaller(edge, 'db').send(WRITE);
     await pause(50);
@@ -270,9 +272,9 @@
     expect(group.callerStatements).toEqual([]);
   });
 
-  it('holds no connection once its transaction was given up', async () => {
-    // The same with the first statement of a transaction. It would begin when
-    // there is a primary again, and nobody would ever end it.
+  it('holds no connection once its transaction was aborted', async () => {
+    // The same for the first statement of a transaction, which would begin
+    // later and never end.
     near.gateway.setPrimary('');
     const caller = new TestCaller(edge, 'db');
     await caller.send(BEGIN);
@@ -288,11 +290,11 @@
   });
 });
 
-describe('a transaction that is given up while it begins', () => {
+describe('a transaction that is aborted while it begins', () => {
   it('runs nothing', async () => {
-    // The begin takes a moment, and the caller leaves meanwhile. The pooler
-    // forgot the transaction by the time at which it has begun: its statement
-    // ran all the same, and its connection was held until the member's limit.
+    // The caller disconnects while the transaction begins. The pooler must not
+    // forget it: its statement would run, and its connection would be held
+    // until the limit of the member.
     const caller = new TestCaller(edge, 'db');
     await caller.send(WRITE);
     group.member('a').answerDelayMs = 60;
@@ -306,10 +308,10 @@
 });
 
 describe('a proxy that is lost', () => {
-  it('leaves no transaction open at its pooler', async () => {
-    // A proxy dies, or is cut off, with a transaction under way. Nobody can
-    // commit it any more; the pooler would hold its connection, and the member
-    // its locks, until the member's own limit.
+  it('has its open transactions rolled back at the pooler', async () => {
+    // A proxy is lost within a transaction that nobody can commit any more. The
+    // pooler would hold its connection, and the member its locks, until the
+    // limit of the member.
     const caller = new TestCaller(edge, 'db');
     await caller.send(BEGIN);
     await caller.send(WRITE);
@@ -324,9 +326,9 @@
 });
 
 describe('a pooler that is lost', () => {
-  it('costs a read a moment, and no more', async () => {
-    // The pooler freezes with a read on its way. Its answer may come late or
-    // never; the read goes to another pooler before its time is over.
+  it('delays a read only briefly', async () => {
+    // The pooler freezes with a pending read, which is sent to another pooler
+    // before its deadline.
     const caller = new TestCaller(edge, 'db');
     await caller.send(READ);
     near.freeze();
@@ -337,9 +339,10 @@
     expect(Date.now() - next).toBeLessThan(100);
   });
 
-  it('is not the end of a read of which nobody knows whether it ran', async () => {
-    // One pooler freezes with a read on its way, the other one is gone, and the
-    // members have no room for this proxy. That it did not run could be false.
+  it('never lets a pending read count as not run', async () => {
+    // One pooler freezes with a pending read, the other one is gone, and the
+    // members refuse this proxy. The read may have run, so it must not be
+    // reported as not run.
     const caller = new TestCaller(edge, 'db');
     await caller.send(READ);
     near.freeze();
@@ -352,9 +355,9 @@
     expect(read.result).toMatchObject({failure: 'timeout'});
   });
 
-  it('leaves the outcome of a write unknown, and runs it once', async () => {
-    // The pooler freezes with a write on its way and may run it when it wakes
-    // up: sent to another pooler, the write could take effect twice.
+  it('leaves the outcome of a write unknown', async () => {
+    // The pooler freezes with a pending write and may run it later: sent to
+    // another pooler, the write could take effect twice.
     const caller = new TestCaller(edge, 'db');
     await caller.send(READ);
     near.freeze();
@@ -365,9 +368,9 @@
     );
   });
 
-  it('aborts a transaction under way, and begins a new one elsewhere', async () => {
-    // The pooler dies with a transaction open. Nothing of it is kept, so the
-    // caller is told to repeat it; a new one goes to the other pooler.
+  it('aborts a transaction and begins a new one elsewhere', async () => {
+    // The pooler is lost within a transaction. The caller is told to repeat it,
+    // and a new one goes to the other pooler.
     const caller = new TestCaller(edge, 'db');
     await caller.send(BEGIN);
     await caller.send(WRITE);
@@ -383,7 +386,7 @@
     expect((await caller.send(COMMIT)).result.kind).toBe('done');
   });
 
-  it('gets no new work once it says that it stops', async () => {
+  it('gets no new work while it drains', async () => {
     const caller = new TestCaller(edge, 'db');
     await caller.send(BEGIN);
     await caller.send(WRITE);
@@ -395,7 +398,7 @@
     expect((await caller.send(COMMIT)).result.kind).toBe('done');
   });
 
-  it('is done without where none is left', async () => {
+  it('is replaced by local connections if none is left', async () => {
     const caller = new TestCaller(edge, 'strict');
     await caller.send(READ);
     near.end();
--- a/src/services/pooler/test/node/pooler_directory.test.ts
+++ b/src/services/pooler/test/node/pooler_directory.test.ts
@@ -14,22 +14,22 @@
 import {PoolerDirectory} from '../../node/pooler_directory';
 import type {PoolerLink} from '../../node/pooler_link';
 
-/** Two years from now: a pooler for each of 3,400 proxies. */
-const POOLERS = 3_400;
-const A_SERVICE = 10;
-const NOT_PASSED: ReadonlySet<PoolerLink> = new Set();
+/** A large deployment. */
+const POOLER_COUNT = 3_400;
+const POOLERS_PER_SERVICE = 10;
+const NONE_EXCLUDED: ReadonlySet<PoolerLink> = new Set();
 
 let server: Server;
 let connections = 0;
 let directory: PoolerDirectory;
 let stop: AbortController;
 let poolers: PoolerEntry[];
-let ranks: ReturnType<typeof vi.spyOn>[];
+let rankSpies: ReturnType<typeof vi.spyOn>[];
 
-/** All addresses of loopback are one server. */
+/** Poolers with distinct loopback addresses, all served by one server. */
 function makePoolers(port: number): PoolerEntry[] {
-  return Array.from({length: POOLERS}, (...[, at]) => ({
-    service: `s${Math.floor(at / A_SERVICE)}`,
+  return Array.from({length: POOLER_COUNT}, (...[, at]) => ({
+    service: `s${Math.floor(at / POOLERS_PER_SERVICE)}`,
     instance: `p${at}`,
     address: `127.2.${at % 256}.${1 + Math.floor(at / 256)}:${port}`,
     site: `site${at % 18}`,
@@ -53,7 +53,7 @@
   const {log} = makeLog();
   directory = new PoolerDirectory(here, new ManualClock(), log, stop.signal);
   poolers = makePoolers((server.address() as AddressInfo).port);
-  ranks = [
+  rankSpies = [
     vi.spyOn(NearestPoolerRanking.prototype, 'rank'),
     vi.spyOn(AccountAffinityRanking.prototype, 'rank'),
   ];
@@ -62,47 +62,46 @@
 afterEach(() => {
   stop.abort();
   server.close();
-  for (const rank of ranks) rank.mockRestore();
+  for (const rank of rankSpies) rank.mockRestore();
 });
 
 const rankCount = () =>
-  ranks.reduce((sum, {mock}) => sum + mock.calls.length, 0);
+  rankSpies.reduce((sum, {mock}) => sum + mock.calls.length, 0);
 
-function ask(service: string, user = SHARED_USER): void {
-  const wish = {service, user, needsPrimary: false};
-  directory.selectLink(wish, NOT_PASSED, true);
+function select(service: string, user = SHARED_USER): void {
+  const requirements = {service, user, needsPrimary: false};
+  directory.selectLink(requirements, NONE_EXCLUDED, true);
 }
 
 const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
 describe('a proxy before 340 services', () => {
-  it('links to poolers of services that its callers use only', async () => {
-    // Hundreds of proxies start together. Each opens links to two poolers of
-    // each service, used or not: control and the poolers take connections at
-    // such a rate that the fleet is not up before its callers come.
+  it('opens links only for services that its callers use', async () => {
+    // Hundreds of proxies start together. With links to the poolers of all
+    // services, connecting would take longer than the start of the fleet.
     directory.setPoolers({poolers});
     await pause(100);
     expect(connections).toBe(0);
-    ask('s7');
+    select('s7');
     await pause(100);
     expect(connections).toBe(2);
-    ask('s7');
+    select('s7');
     await pause(300);
     expect(connections).toBe(2);
   });
 
-  it('ranks one service anew where one pooler changed', () => {
+  it('computes new rankings only for a service whose poolers changed', () => {
     directory.setPoolers({poolers});
     expect(rankCount()).toBe(0);
-    for (const service of ['s1', 's2', 's3']) ask(service);
-    ask('s1', memberUser('account'));
+    for (const service of ['s1', 's2', 's3']) select(service);
+    select('s1', memberUser('account'));
     const before = rankCount();
     const moved = {...poolers[12]!, instance: 'other'};
     const changed = poolers.map((entry, at) => (at === 12 ? moved : entry));
     directory.setPoolers({poolers: changed});
-    for (const service of ['s1', 's2', 's3']) ask(service);
-    ask('s2', memberUser('account'));
-    // The changed one, and the order for the account, which is a new one.
+    for (const service of ['s1', 's2', 's3']) select(service);
+    select('s2', memberUser('account'));
+    // One for the changed service, and one for the account, which is new.
     expect(rankCount() - before).toBe(2);
   });
 });
--- a/src/services/pooler/test/node/pooler_selector.test.ts
+++ b/src/services/pooler/test/node/pooler_selector.test.ts
@@ -11,14 +11,14 @@
 import type {PoolerLink} from '../../node/pooler_link';
 import {PoolerSelector} from '../../node/pooler_selector';
 
-/** A proxy with two poolers, and a route that expects 1,000 ms. */
-class Proxy {
+/** A proxy with two poolers, and a route with an objective of 1,000 ms. */
+class TestProxy {
   readonly clock = new ManualClock();
   readonly near = makeLink('near');
   readonly far = makeLink('far');
-  readonly refused: CheckoutRefusal[] = [];
+  readonly refusals: CheckoutRefusal[] = [];
   private readonly classes = new ClassAdmission(this.clock);
-  private readonly decision = new PoolerSelector({
+  private readonly selector = new PoolerSelector({
     readyLinks: () => [this.near, this.far],
   } as unknown as PoolerDirectory);
 
@@ -28,12 +28,12 @@
     );
   }
 
-  tell(link: PoolerLink, waitMs: number): void {
-    const word = {service: 'books', needsPrimary: true, priority: 1, waitMs};
-    link.waits.update([word], this.clock.now());
+  report(link: PoolerLink, waitMs: number): void {
+    const wait = {service: 'books', needsPrimary: true, priority: 1, waitMs};
+    link.waits.update([wait], this.clock.now());
   }
 
-  decide(): PoolerLink | CheckoutRefusal {
+  select(): PoolerLink | CheckoutRefusal {
     const now = this.clock.now();
     const context = {
       classes: this.classes,
@@ -44,14 +44,14 @@
         recordRefusal: (
           ...[, , refusal]: [unknown, unknown, CheckoutRefusal]
         ) => {
-          this.refused.push(refusal);
+          this.refusals.push(refusal);
         },
       },
     } as unknown as SessionContext;
-    return this.decision.select(context, this.near, {
+    return this.selector.select(context, this.near, {
       route: makeRoute({priority: 1, objectiveMs: 1_000, statementMs: 2_000}),
-      wish: {service: 'books', user: SHARED_USER, needsPrimary: true},
-      since: now,
+      requirements: {service: 'books', user: SHARED_USER, needsPrimary: true},
+      receivedAt: now,
       deadline: now + 2_000,
       requestId: 'q1',
     });
@@ -62,45 +62,45 @@
   return {address, waits: new PoolerWaits()} as unknown as PoolerLink;
 }
 
-describe('new work at a proxy, by class', () => {
+describe('a new request at a proxy with classes', () => {
   const priorities = [0, 1, 2];
 
-  it('goes to the first pooler while it is in time there', () => {
-    const proxy = new Proxy(priorities);
-    expect(proxy.decide()).toBe(proxy.near);
-    proxy.tell(proxy.near, 800);
-    expect(proxy.decide()).toBe(proxy.near);
+  it('is sent to the first pooler while it is in time there', () => {
+    const proxy = new TestProxy(priorities);
+    expect(proxy.select()).toBe(proxy.near);
+    proxy.report(proxy.near, 800);
+    expect(proxy.select()).toBe(proxy.near);
   });
 
-  it('goes to another one where the first has no time for it', () => {
-    const proxy = new Proxy(priorities);
-    proxy.tell(proxy.near, 1_500);
-    expect(proxy.decide()).toBe(proxy.far);
+  it('is sent to another pooler if it would be late at the first', () => {
+    const proxy = new TestProxy(priorities);
+    proxy.report(proxy.near, 1_500);
+    expect(proxy.select()).toBe(proxy.far);
   });
 
-  it('is refused before any message where all are too busy', () => {
-    const proxy = new Proxy(priorities);
-    proxy.tell(proxy.near, 1_500);
-    proxy.tell(proxy.far, 1_200);
-    expect(proxy.decide()).toMatchObject({
+  it('is refused without a message if it would be late at all poolers', () => {
+    const proxy = new TestProxy(priorities);
+    proxy.report(proxy.near, 1_500);
+    proxy.report(proxy.far, 1_200);
+    expect(proxy.select()).toMatchObject({
       reason: 'overloaded',
       retryAfterMs: 1_200,
     });
-    expect(proxy.refused[0]!.detail).toContain('word=far');
+    expect(proxy.refusals[0]!.detail).toContain('source=far');
   });
 
-  it('is sent again once the words are old', () => {
-    const proxy = new Proxy(priorities);
-    proxy.tell(proxy.near, 1_500);
-    proxy.tell(proxy.far, 1_500);
+  it('is sent once the reports are outdated', () => {
+    const proxy = new TestProxy(priorities);
+    proxy.report(proxy.near, 1_500);
+    proxy.report(proxy.far, 1_500);
     proxy.clock.advance(301);
-    expect(proxy.decide()).toBe(proxy.near);
+    expect(proxy.select()).toBe(proxy.near);
   });
 
-  it('goes where it went before without classes', () => {
-    const proxy = new Proxy([1, 2]);
-    proxy.tell(proxy.near, 1_500);
-    proxy.tell(proxy.far, 1_500);
-    expect(proxy.decide()).toBe(proxy.near);
+  it('is sent to the first pooler without classes', () => {
+    const proxy = new TestProxy([1, 2]);
+    proxy.report(proxy.near, 1_500);
+    proxy.report(proxy.far, 1_500);
+    expect(proxy.select()).toBe(proxy.near);
   });
 });
