--- a/src/services/fleet_control/common/single_flight.ts
+++ b/src/services/fleet_control/common/single_flight.ts
@@ -1,15 +1,15 @@
-/** Work that is not begun again while it is under way, by key. */
+/** Runs tasks such that at most one per key is running. */
 export class SingleFlight {
-  private readonly underWay = new Set<string>();
+  private readonly running = new Set<string>();
 
-  /** Begins the work unless the same is under way. */
-  start(key: string, work: () => Promise<void>): void {
-    if (this.underWay.has(key)) return;
-    this.underWay.add(key);
-    void work().finally(() => this.underWay.delete(key));
+  /** Starts the task unless one with the same key is running. */
+  start(key: string, task: () => Promise<void>): void {
+    if (this.running.has(key)) return;
+    this.running.add(key);
+    void task().finally(() => this.running.delete(key));
   }
 
   isRunning(key: string): boolean {
-    return this.underWay.has(key);
+    return this.running.has(key);
   }
 }
--- a/src/services/fleet_control/common/stable_count.ts
+++ b/src/services/fleet_control/common/stable_count.ts
@@ -1,24 +1,27 @@
-/** A count that holds for so long is the usual one, in milliseconds. */
-const USUAL_AFTER_MS = 5_000;
+/** How long a count must stay unchanged to be stable. */
+const STABLE_AFTER_MS = 5_000;
 
 /**
- * How many proxies there usually are, for those that lead control later.
+ * The number of proxies that is recorded for later leaders.
  *
- * After a full stop nobody knows how many come back. Told nothing, each proxy
- * took as many connections as there were for all of them: the first ones held
- * four to each primary, and others had none for more than a second.
+ * After a restart of the whole fleet, a leader cannot know how many proxies
+ * will return. Without a recorded number, the first ones would open the
+ * connections of all.
  */
 export class StableCount {
   private current = 0;
-  private since = -Infinity;
+  private unchangedSince = -Infinity;
 
-  /** Takes a look; the count to note, where another one is usual by now. */
+  /**
+   * Observes the current count. Returns the count to record if it is stable and
+   * differs from the recorded one.
+   */
   observe(count: number, recorded: number, now: number): number | undefined {
     if (count !== this.current) {
       this.current = count;
-      this.since = now;
+      this.unchangedSince = now;
     }
-    const isUsual = now - this.since >= USUAL_AFTER_MS;
-    return isUsual && count !== recorded && count > 0 ? count : undefined;
+    const isStable = now - this.unchangedSince >= STABLE_AFTER_MS;
+    return isStable && count !== recorded && count > 0 ? count : undefined;
   }
 }
--- a/src/services/fleet_control/node/fleet_control.ts
+++ b/src/services/fleet_control/node/fleet_control.ts
@@ -27,25 +27,28 @@
 import {ConnectionAllocation} from '../../connection_quota/common/connection_allocation';
 import {ServicePromotions, type MemberAccess} from './service_promotions';
 
-/** Why control cannot answer for certain now. */
+/** Why control cannot confirm a request now. */
 export type UnavailableReason =
   'not leading' | 'too few voters' | 'unconfirmed';
 
-/** What an operator hears of a catalog that was handed in. */
+/** The outcome of a submitted catalog. */
 export type SubmitOutcome =
   | {readonly kind: PublishOutcome}
   | {readonly kind: 'invalid'; readonly reason: string};
 
-/** What became of an announcement. */
+/** The outcome of an announcement. */
 export type AnnounceOutcome = 'taken' | 'not leading' | 'unknown service';
 
-/** What control is built on. */
+/** The dependencies of `FleetControl`. */
 export interface FleetControlDependencies {
   readonly holder: string;
-  /** Voters that must hold something before it is acknowledged. */
+  /** Number of voters that the control group should have. */
   readonly desiredVoterCount: number;
   readonly limitPrecision: LimitPrecision;
-  /** How long shares of limits hold without a word of control, in ms. */
+  /**
+   * How long shares of account limits stay valid without contact to control, in
+   * milliseconds.
+   */
   readonly shareLeaseMs: number;
   readonly node: ConsensusNode;
   readonly machine: FleetStateMachine;
@@ -56,45 +59,51 @@
   regionOf(site: string): string;
 }
 
-const TEND_MS = 200;
-/** A member that stayed silent for so long is forgotten, in milliseconds. */
-const FORGET_SILENT_MS = 20_000;
+const RECONCILE_INTERVAL_MS = 200;
+/** Silence after which a member is removed. */
+const REMOVE_SILENT_AFTER_MS = 20_000;
 
-/** The decisions of control where targets confirm commits themselves. */
+/**
+ * The decisions of control for services whose members confirm commits
+ * themselves.
+ */
 export class FleetControl {
   private roster = new Roster();
-  private term = ownController();
+  private leadership = ownController();
   private promotions: ServicePromotions | undefined;
   private readonly joiners = new Map<string, Joiner>();
   private readonly proposals = new SingleFlight();
-  private planner = new PoolerPlanner(0);
-  private usualCount = new StableCount();
+  private poolerPlanner = new PoolerPlanner(0);
+  private stableProxyCount = new StableCount();
   private leadingSince = Infinity;
-  private leadBoard = new PublishedPrimaries();
+  private currentPrimaries = new PublishedPrimaries();
   private leaseHolders = new LeaseHolders(Infinity);
-  private counting: LimitCoordinator;
-  private known: {version: number; catalog: Catalog} | undefined;
-  private readonly controlRoom: ConnectionAllocation;
+  private limitCoordinator: LimitCoordinator;
+  private parsedCatalog: {version: number; catalog: Catalog} | undefined;
+  private readonly connectionAllocation: ConnectionAllocation;
   leader: FleetLeader | undefined;
 
-  constructor(private readonly around: FleetControlDependencies) {
-    this.counting = this.makeCounting();
-    this.controlRoom = new ConnectionAllocation({
+  constructor(private readonly dependencies: FleetControlDependencies) {
+    this.limitCoordinator = this.makeLimitCoordinator();
+    this.connectionAllocation = new ConnectionAllocation({
       catalog: () => this.catalog(),
       members: () => this.roster.all(),
       membersRevision: () => this.roster.revision,
-      poolers: () => around.machine.poolers,
-      capacities: () => this.leader?.attached.map(one => one.capacity) ?? [],
+      poolers: () => dependencies.machine.poolers,
+      capacities: () =>
+        this.leader?.attached.map(follower => follower.capacity) ?? [],
     });
   }
 
   start(signal: AbortSignal): void {
-    every(signal, TEND_MS, () => this.tend());
-    signal.addEventListener('abort', () => this.term.abort(), {once: true});
+    every(signal, RECONCILE_INTERVAL_MS, () => this.reconcile());
+    signal.addEventListener('abort', () => this.leadership.abort(), {
+      once: true,
+    });
   }
 
   get isLeading(): boolean {
-    return this.around.node.core.isLeaderReady;
+    return this.dependencies.node.core.isLeaderReady;
   }
 
   get members(): readonly Member[] {
@@ -105,65 +114,65 @@
     return this.roster.revision;
   }
 
-  /** The catalog in force, as proxies get it. */
+  /** The current catalog; undefined before the first one. */
   catalog(): Catalog | undefined {
-    const {machine, reader} = this.around;
+    const {machine, reader} = this.dependencies;
     const version = machine.catalogVersion;
     if (version === 0) return undefined;
-    if (this.known?.version !== version) {
+    if (this.parsedCatalog?.version !== version) {
       const read = reader.read(inflate(machine.catalogSource));
-      if (read.isErr) throw new Error(`catalog ${version} in the log`);
-      this.known = {version, catalog: read.value.catalog};
+      if (read.isErr) throw new Error(`invalid catalog ${version} in the log`);
+      this.parsedCatalog = {version, catalog: read.value.catalog};
     }
-    return this.known.catalog;
+    return this.parsedCatalog.catalog;
   }
 
-  /** Who leads which service, as proxies are told. */
+  /** The primaries that are published to proxies. */
   get publishedPrimaries(): PublishedPrimaries {
-    return this.leadBoard;
+    return this.currentPrimaries;
   }
 
-  /** The proxies that may rely on it. */
+  /** The proxies that hold leases on primaries. */
   get holders(): LeaseHolders {
     return this.leaseHolders;
   }
 
-  /** Who divides the limits of accounts among the counters. */
+  /** Divides account limits among the counters. */
   get shares(): ShareAllocator {
-    return this.counting.shares;
+    return this.limitCoordinator.shares;
   }
 
-  /** Who may open how many connections to members. */
+  /** Divides connections to members among the poolers. */
   get connectionAllocator(): ConnectionAllocator {
-    return this.controlRoom.currentAllocator;
+    return this.connectionAllocation.currentAllocator;
   }
 
-  /** Begins or ends what only a leader does. */
+  /** Resets the state of a leadership when it begins or ends. */
   onDidChangeRole(isLeader: boolean): void {
     const wasLeader = this.leadingSince !== Infinity;
-    this.term.abort();
-    this.term = ownController();
+    this.leadership.abort();
+    this.leadership = ownController();
     this.promotions = undefined;
     this.roster = new Roster();
-    this.planner = new PoolerPlanner(this.around.clock.now());
-    this.leadingSince = isLeader ? this.around.clock.now() : Infinity;
-    this.usualCount = new StableCount();
-    this.leadBoard = new PublishedPrimaries();
+    this.poolerPlanner = new PoolerPlanner(this.dependencies.clock.now());
+    this.leadingSince = isLeader ? this.dependencies.clock.now() : Infinity;
+    this.stableProxyCount = new StableCount();
+    this.currentPrimaries = new PublishedPrimaries();
     this.leaseHolders = new LeaseHolders(this.leadingSince);
-    this.counting = this.makeCounting();
-    this.controlRoom.onDidBecomeLeader(this.around.clock.now());
-    // Proxies that wait here for an election stay while this instance stands
-    // for it: sent away, each of them came back 0.1 to 0.3 s after it.
+    this.limitCoordinator = this.makeLimitCoordinator();
+    this.connectionAllocation.onDidBecomeLeader(this.dependencies.clock.now());
+    // Proxies that wait for an election stay connected here; they would be
+    // slower to find the leader themselves.
     if (wasLeader && !isLeader) this.leader?.onDidLoseLeadership();
     this.leader?.push();
   }
 
-  /** What a new state means for proxies. */
+  /** Publishes the state after entries of the log were applied. */
   onDidApply(): void {
     if (!this.isLeading) return;
     this.restoreMembers();
-    for (const lead of this.around.machine.assignments) {
-      this.leadBoard.offer(lead);
+    for (const assignment of this.dependencies.machine.assignments) {
+      this.currentPrimaries.offer(assignment);
     }
   }
 
@@ -171,14 +180,17 @@
     this.joiners.set(joiner.id, joiner);
   }
 
-  /** Puts a complete catalog into the log; the outcome once it is certain. */
+  /**
+   * Proposes a complete catalog to the log. The outcome is known once the entry
+   * is committed.
+   */
   async submitCatalog(
     source: string,
   ): Promise<Result<SubmitOutcome, UnavailableReason>> {
-    const {reader, node, machine, log} = this.around;
+    const {reader, node, machine, log} = this.dependencies;
     const read = reader.read(source);
     if (read.isErr) {
-      log.info('Refused a catalog.', {reason: read.error.reason});
+      log.info('Rejected an invalid catalog.', {reason: read.error.reason});
       return ok({kind: 'invalid', reason: read.error.reason});
     }
     if (!this.isLeading) return err('not leading');
@@ -190,23 +202,30 @@
       $case: 'publish',
       value: {version, source: compressed},
     } as const;
-    const done = await node.propose(encodeCommand(body));
-    if (done.isErr) {
-      log.warn('Cannot tell what became of a catalog.', {version});
+    const proposed = await node.propose(encodeCommand(body));
+    if (proposed.isErr) {
+      log.warn('The outcome of a submitted catalog is unknown.', {version});
       return err('unconfirmed');
     }
-    const kind = machine.takeOutcome(done.value);
+    const kind = machine.takeOutcome(proposed.value);
     if (!kind) return err('unconfirmed');
-    log.info('Took a catalog.', {version, outcome: kind, index: done.value});
+    log.info('Committed a submitted catalog.', {
+      version,
+      outcome: kind,
+      index: proposed.value,
+    });
     this.leader?.push();
     return ok({kind});
   }
 
-  /** The newest catalog's source, if a majority confirms that it is. */
+  /**
+   * Returns the source of the newest catalog, after a majority confirmed this
+   * leader.
+   */
   async readCatalogSource(): Promise<
     Result<string | undefined, UnavailableReason>
   > {
-    const {node, machine} = this.around;
+    const {node, machine} = this.dependencies;
     if (!this.isLeading) return err('not leading');
     const confirmed = await node.confirmLeadership();
     if (confirmed.isErr) return err('unconfirmed');
@@ -214,35 +233,39 @@
     return ok(inflate(machine.catalogSource));
   }
 
-  /** Takes an announcement of a member of a service that is defined. */
+  /** Applies an announcement of a member whose service is defined. */
   announce(announcement: Announcement): AnnounceOutcome {
     if (!this.isLeading) return 'not leading';
     const {member} = announcement;
-    // Guard: whoever writes under a made-up service would fill the log.
+    // Guard: announcements for undefined services would fill the log.
     if (!this.isDefined(member.service)) return 'unknown service';
-    const before = this.roster.get(member.instance);
+    const previous = this.roster.get(member.instance);
     const revision = this.roster.revision;
-    this.roster.announce(announcement, this.around.clock.now());
+    this.roster.announce(announcement, this.dependencies.clock.now());
     if (revision !== this.roster.revision) {
       const {instance, service, role, draining} = member;
       const fields = {instance, service, role, draining};
-      const known = before !== undefined;
-      this.around.log.info('A member announced a change.', {...fields, known});
+      const known = previous !== undefined;
+      this.dependencies.log.info('A member announced a change.', {
+        ...fields,
+        known,
+      });
       this.leader?.schedulePush();
-      // At each announcement, a look at all members is their number squared.
-      this.drive();
+      // Not for every announcement: the cost would grow with the square of the
+      // number of members.
+      this.reconcilePromotions();
     }
-    this.admit(member);
+    this.recordMember(member);
     return 'taken';
   }
 
-  /** Members may come before the first catalog. */
+  /** Any service counts as defined before the first catalog. */
   private isDefined(service: string): boolean {
     const services = this.catalog()?.services;
     return services?.some(entry => entry.service === service) ?? true;
   }
 
-  /** Takes note that a member ended, with its log. */
+  /** Removes a member that ended for good, together with its log. */
   async removeMember(instance: string): Promise<boolean> {
     if (!this.isLeading) return false;
     const member = this.roster.get(instance);
@@ -250,111 +273,122 @@
     this.leader?.push();
     if (!member) return true;
     const {service} = member;
-    this.around.log.info('A member has left.', {instance, service});
+    this.dependencies.log.info('A member left.', {instance, service});
     const body = {$case: 'forget', value: {service, instance}} as const;
-    const done = await this.around.node.propose(encodeCommand(body));
-    return done.isOk;
+    const proposed = await this.dependencies.node.propose(encodeCommand(body));
+    return proposed.isOk;
   }
 
-  private makeCounting(): LimitCoordinator {
-    const around = {...this.around, catalog: () => this.catalog()};
-    return new LimitCoordinator(around, this.proposals);
+  private makeLimitCoordinator(): LimitCoordinator {
+    const dependencies = {...this.dependencies, catalog: () => this.catalog()};
+    return new LimitCoordinator(dependencies, this.proposals);
   }
 
   private get hasEnoughVoters(): boolean {
-    const {peers} = this.around.node.core.configuration;
+    const {peers} = this.dependencies.node.core.configuration;
     const voters = peers.filter(({voter}) => voter).length;
-    return voters >= this.around.desiredVoterCount;
+    return voters >= this.dependencies.desiredVoterCount;
   }
 
   private restoreMembers(): void {
-    for (const member of this.around.machine.members) {
+    for (const member of this.dependencies.machine.members) {
       this.roster.restore(member);
     }
   }
 
-  private tend(): void {
+  private reconcile(): void {
     if (!this.isLeading) return;
     this.restoreMembers();
-    this.tendVoters();
-    this.forgetSilent();
+    this.reconcileVoters();
+    this.removeSilentMembers();
     this.promotions?.checkRecovering();
-    this.tendPoolers();
-    this.tendCount();
-    this.counting.reconcile(this.leader?.attached ?? []);
-    this.controlRoom.checkCapacities();
-    this.drive();
+    this.reconcilePoolers();
+    this.recordProxyCount();
+    this.limitCoordinator.reconcile(this.leader?.attached ?? []);
+    this.connectionAllocation.checkCapacities();
+    this.reconcilePromotions();
   }
 
-  private drive(): void {
+  private reconcilePromotions(): void {
     if (!this.isLeading || !this.leader) return;
     this.promotions ??= new ServicePromotions(
       {
-        ...this.around,
+        ...this.dependencies,
         roster: this.roster,
-        publishedPrimaries: this.leadBoard,
+        publishedPrimaries: this.currentPrimaries,
         holders: this.leaseHolders,
         leader: this.leader,
       },
-      this.term.signal,
+      this.leadership.signal,
     );
     this.promotions.reconcile();
   }
 
-  /** A member whose log may count at a promotion goes into the log. */
-  private admit(member: Member): void {
+  /** Records a member in the log, so that its log counts at a promotion. */
+  private recordMember(member: Member): void {
     const {instance, service, address, role, born} = member;
-    const {machine} = this.around;
-    const known = machine.member(service, instance);
-    if (known && born < known.born) return;
-    // The role too: a new leader would else send proxies to an old primary
-    // until the members' next heartbeats.
-    const isSameLife = known?.born === born;
-    const isKnown =
-      isSameLife && known.address === address && known.role === role;
+    const {machine} = this.dependencies;
+    const recorded = machine.member(service, instance);
+    if (recorded && born < recorded.born) return;
+    // The role is recorded too: a new leader would otherwise direct proxies to
+    // an old primary until the next heartbeats.
+    const isSameIncarnation = recorded?.born === born;
+    const isUnchanged =
+      isSameIncarnation &&
+      recorded.address === address &&
+      recorded.role === role;
     const key = `admit ${instance}`;
-    if (isKnown || this.proposals.isRunning(key)) return;
-    // Before the first lead nothing was acknowledged that a log could lack.
-    const isNewLife =
-      !isSameLife && machine.assignmentOf(service) !== undefined;
-    const recovering = isSameLife ? known.recovering : isNewLife;
+    if (isUnchanged || this.proposals.isRunning(key)) return;
+    // Before the first primary assignment no commit was acknowledged that the
+    // log could lack.
+    const isNewIncarnation =
+      !isSameIncarnation && machine.assignmentOf(service) !== undefined;
+    const recovering = isSameIncarnation
+      ? recorded.recovering
+      : isNewIncarnation;
     const value = {member: {...member, recovering}};
     const body = {$case: 'admit', value} as const;
-    if (isNewLife) {
-      const fields = {service, instance, born, before: known?.born ?? 0};
-      this.around.log.info('A member joins with an unknown log.', fields);
+    if (isNewIncarnation) {
+      const fields = {service, instance, born, before: recorded?.born ?? 0};
+      this.dependencies.log.info(
+        'A member joined whose log may be incomplete.',
+        fields,
+      );
     }
     this.proposals.start(key, async () => {
-      await this.around.node.propose(encodeCommand(body));
+      await this.dependencies.node.propose(encodeCommand(body));
     });
   }
 
   /**
-   * A member that ended without a word would be waited for at each promotion.
-   * It is forgotten once it was silent for long while another replica of its
-   * service went on: what it held was received there since.
+   * Removes members that are silent for long while another replica of their
+   * service is healthy. They would delay each promotion, and the healthy
+   * replica has received what they held.
    */
-  private forgetSilent(): void {
-    const now = this.around.clock.now();
-    if (now - this.leadingSince < FORGET_SILENT_MS) return;
+  private removeSilentMembers(): void {
+    const now = this.dependencies.clock.now();
+    if (now - this.leadingSince < REMOVE_SILENT_AFTER_MS) return;
     for (const member of this.roster.all()) {
       const {instance, service} = member;
-      const heardAt = Math.max(
+      const lastHeardAt = Math.max(
         this.roster.lastHeardAt(instance),
         this.leadingSince,
       );
-      if (now - heardAt < FORGET_SILENT_MS) continue;
+      if (now - lastHeardAt < REMOVE_SILENT_AFTER_MS) continue;
       if (!this.promotions?.isDispensable(member)) continue;
-      this.around.log.warn('Forgets a silent member.', {instance, service});
+      this.dependencies.log.warn('Removing a silent member.', {
+        instance,
+        service,
+      });
       void this.removeMember(instance);
     }
   }
 
-  /** Names poolers anew where proxies or services came or went. */
-  private tendPoolers(): void {
+  /** Reassigns poolers if proxies or services changed. */
+  private reconcilePoolers(): void {
     if (this.proposals.isRunning('poolers') || !this.leader) return;
-    const {machine, clock, node, log} = this.around;
-    const poolers = this.planner.plan(
+    const {machine, clock, node, log} = this.dependencies;
+    const poolers = this.poolerPlanner.plan(
       this.catalog()?.services ?? [],
       this.leader.attached,
       machine.poolers,
@@ -363,21 +397,21 @@
     if (!poolers) return;
     const body = {$case: 'namePoolers', value: {poolers}} as const;
     this.proposals.start('poolers', async () => {
-      const done = await node.propose(encodeCommand(body));
-      const named = poolers
+      const proposed = await node.propose(encodeCommand(body));
+      const assigned = poolers
         .map(({service, instance}) => `${service}:${instance}`)
         .join(' ');
-      const outcome = done.isOk ? 'in force' : done.error;
-      log.info('Names the poolers.', {poolers: named, outcome});
+      const outcome = proposed.isOk ? 'committed' : proposed.error;
+      log.info('Assigned the poolers.', {poolers: assigned, outcome});
     });
   }
 
-  /** Notes how many proxies there usually are. */
-  private tendCount(): void {
+  /** Records the number of proxies once it is stable. */
+  private recordProxyCount(): void {
     if (this.proposals.isRunning('count') || !this.leader) return;
-    const {machine, node, clock, log} = this.around;
+    const {machine, node, clock, log} = this.dependencies;
     const {length} = this.leader.attached;
-    const proxies = this.usualCount.observe(
+    const proxies = this.stableProxyCount.observe(
       length,
       machine.expectedProxyCount,
       clock.now(),
@@ -385,13 +419,16 @@
     if (proxies === undefined) return;
     const body = {$case: 'countProxies', value: {proxies}} as const;
     this.proposals.start('count', async () => {
-      const done = await node.propose(encodeCommand(body));
-      log.info('Notes the number of proxies.', {proxies, done: done.isOk});
+      const proposed = await node.propose(encodeCommand(body));
+      log.info('Recorded the number of proxies.', {
+        proxies,
+        done: proposed.isOk,
+      });
     });
   }
 
-  private tendVoters(): void {
-    const {node, desiredVoterCount, clock} = this.around;
+  private reconcileVoters(): void {
+    const {node, desiredVoterCount, clock} = this.dependencies;
     const {core} = node;
     if (this.proposals.isRunning('voters')) return;
     if (!core.isConfigurationCommitted) return;
--- a/src/services/fleet_control/node/limit_coordinator.ts
+++ b/src/services/fleet_control/node/limit_coordinator.ts
@@ -14,10 +14,10 @@
 import type {FleetStateMachine} from '../../fleet_state/common/fleet_state_machine';
 import type {SingleFlight} from '../common/single_flight';
 
-/** What the counting of accounts is built on. */
+/** The dependencies of `LimitCoordinator`. */
 export interface LimitCoordinatorDependencies {
   readonly limitPrecision: LimitPrecision;
-  /** How long shares hold without a word of control, in milliseconds. */
+  /** How long shares stay valid without contact to control, in milliseconds. */
   readonly shareLeaseMs: number;
   readonly node: Pick<ConsensusNode, 'propose'>;
   readonly machine: Pick<FleetStateMachine, 'counters'>;
@@ -27,72 +27,84 @@
   catalog(): Catalog | undefined;
 }
 
-/** Names counters and divides limits among them, during one leadership. */
+/**
+ * Assigns counters and divides account limits among them, during one
+ * leadership.
+ */
 export class LimitCoordinator {
   private readonly allocator: ShareAllocator;
   private readonly planner: CounterPlanner;
-  private knownCounters: readonly CounterEntry[] | undefined;
-  /** The catalog whose limits the allocator has. */
-  private knownVersion = 0;
+  private allocatorCounters: readonly CounterEntry[] | undefined;
+  /** Version of the catalog whose limits the allocator uses. */
+  private allocatorCatalogVersion = 0;
 
   constructor(
-    private readonly around: LimitCoordinatorDependencies,
+    private readonly dependencies: LimitCoordinatorDependencies,
     private readonly proposals: SingleFlight,
   ) {
-    const {clock, limitPrecision, shareLeaseMs} = around;
+    const {clock, limitPrecision, shareLeaseMs} = dependencies;
     const now = clock.now();
     this.allocator = new LimitAllocator(now, limitPrecision, shareLeaseMs);
     this.planner = new CounterPlanner(now);
   }
 
-  /** Who divides the limits in force among the counters in the log. */
+  /** The allocator, updated to the current counters and catalog. */
   get shares(): ShareAllocator {
-    const {machine, clock} = this.around;
+    const {machine, clock} = this.dependencies;
     const {counters} = machine;
-    if (this.knownCounters !== counters) {
-      this.knownCounters = counters;
+    if (this.allocatorCounters !== counters) {
+      this.allocatorCounters = counters;
       this.allocator.setCounters(counters, clock.now());
     }
-    const catalog = this.around.catalog();
-    if (catalog && catalog.version !== this.knownVersion) {
-      this.knownVersion = catalog.version;
+    const catalog = this.dependencies.catalog();
+    if (catalog && catalog.version !== this.allocatorCatalogVersion) {
+      this.allocatorCatalogVersion = catalog.version;
       this.allocator.setAccounts(catalog.accounts, clock.now());
     }
     return this.allocator;
   }
 
-  /** Names counters anew where proxies or limits came or went. */
+  /** Reassigns counters if proxies or limits changed. */
   reconcile(attached: readonly CounterCandidate[]): void {
     if (this.proposals.isRunning('counters')) return;
-    const {machine, clock, node, catalog} = this.around;
+    const {machine, clock, node, catalog} = this.dependencies;
     const {shares} = this;
     const now = clock.now();
     const accounts = catalog()?.accounts ?? [];
-    const need = {
+    const requirements = {
       hasLimits: accounts.some(({limit}) => limit !== undefined),
-      regionOf: this.around.regionOf,
+      regionOf: this.dependencies.regionOf,
       canRemove: (instance: string) => shares.canRemove(instance, now),
     };
-    const plan = this.planner.plan(need, attached, machine.counters, now);
+    const plan = this.planner.plan(
+      requirements,
+      attached,
+      machine.counters,
+      now,
+    );
     if (!plan) return;
     const {counters, changes} = plan;
     const body = {$case: 'nameCounters', value: {counters}} as const;
     this.proposals.start('counters', async () => {
-      const done = await node.propose(encodeCommand(body));
-      this.logChanges(changes, done.isOk ? 'in force' : done.error);
+      const proposed = await node.propose(encodeCommand(body));
+      this.logChanges(changes, proposed.isOk ? 'committed' : proposed.error);
     });
   }
 
   private logChanges(changes: readonly CounterChange[], outcome: string): void {
     for (const {instance, kind, reason} of changes) {
-      this.around.log.info(SENTENCES[kind], {instance, reason, outcome});
+      this.dependencies.log.info(LOG_MESSAGES[kind], {
+        instance,
+        reason,
+        outcome,
+      });
     }
   }
 }
 
-const SENTENCES: Readonly<Record<CounterChange['kind'], string>> = {
+const LOG_MESSAGES: Readonly<Record<CounterChange['kind'], string>> = {
   named: 'Names a counter.',
-  moved: 'A counter has another address.',
-  retiring: 'A counter retires.',
-  removed: 'A counter is no more.',
+  moved: 'A counter changed its address.',
+  retiring: 'A counter is retiring.',
+  removed: 'Removed a counter.',
 };
--- a/src/services/fleet_control/node/service_promotions.ts
+++ b/src/services/fleet_control/node/service_promotions.ts
@@ -24,14 +24,14 @@
 import type {StatusReader} from '../../target_link/common/member_status';
 import type {TargetConnector} from '../../target_link/common/target_link';
 
-/** How members are reached and promoted. */
+/** Connects to members, reads their status and requests promotions. */
 export interface MemberAccess {
   readonly connector: TargetConnector;
   readonly reader: StatusReader;
   readonly orders: PromotionAccess;
 }
 
-/** What the promotions of one leadership are built on. */
+/** The dependencies of `ServicePromotions`, for one leadership. */
 export interface ServicePromotionsDependencies {
   readonly holder: string;
   readonly node: ConsensusNode;
@@ -45,127 +45,144 @@
   readonly log: Log;
 }
 
-interface Watched {
-  readonly watch: MemberMonitor;
+interface MonitoredMember {
+  readonly monitor: MemberMonitor;
   readonly address: string;
   end(): void;
 }
 
-/** Silent members that are missed must have been silent for all of this, ms. */
-const HEALTHY_SILENCE_MS = 1_000;
+/** Maximum silence of a member that counts as healthy. */
+const MAX_HEALTHY_SILENCE_MS = 1_000;
 
-/** The watches and drivers of one leadership, for all services. */
+/**
+ * Monitors the members and drives the promotions of all services, during one
+ * leadership.
+ */
 export class ServicePromotions {
-  private readonly watches = new Map<string, Watched>();
+  private readonly monitors = new Map<string, MonitoredMember>();
   private readonly drivers = new Set<string>();
-  /** Members that are asked whether they have caught up. */
+  /** Members whose recovery is being checked. */
   private readonly recoveries = new Set<string>();
 
   constructor(
-    private readonly around: ServicePromotionsDependencies,
+    private readonly dependencies: ServicePromotionsDependencies,
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Watches new members, and leaves those that are gone. */
+  /** Starts monitors of new members and ends those of removed ones. */
   reconcile(): void {
-    const members = this.around.roster.all();
+    const members = this.dependencies.roster.all();
     for (const member of members) {
-      this.watchOf(member);
+      this.monitorOf(member);
       this.startDriver(member.service);
     }
-    for (const [instance, watched] of this.watches) {
-      if (this.around.roster.get(instance)) continue;
-      watched.end();
-      this.watches.delete(instance);
+    for (const [instance, monitored] of this.monitors) {
+      if (this.dependencies.roster.get(instance)) continue;
+      monitored.end();
+      this.monitors.delete(instance);
     }
   }
 
-  /** Whether a silent member's service goes on without it. */
+  /** Whether the service works without this silent member. */
   isDispensable(member: Member): boolean {
     const others = this.membersOf(member.service).filter(other => {
       return other.instance !== member.instance;
     });
     const healthy = others.filter(other => {
-      return this.watchOf(other).silentMs < HEALTHY_SILENCE_MS;
+      return this.monitorOf(other).silentMs < MAX_HEALTHY_SILENCE_MS;
     });
-    const lead = this.around.machine.assignmentOf(member.service);
-    const serves = healthy.some(({instance}) => instance === lead?.instance);
-    return serves && healthy.length >= 2;
+    const assignment = this.dependencies.machine.assignmentOf(member.service);
+    const hasPrimary = healthy.some(
+      ({instance}) => instance === assignment?.instance,
+    );
+    return hasPrimary && healthy.length >= 2;
   }
 
   /**
-   * Takes members whose log was not known to hold everything, and now is. What
-   * the lead held after a member's life became known covers all that earlier
-   * lives had confirmed.
+   * Marks recovering members as caught up once their log holds everything. What
+   * the primary held after a member restarted includes all that earlier
+   * incarnations of the member confirmed.
    */
   checkRecovering(): void {
-    for (const member of this.around.roster.all()) {
+    for (const member of this.dependencies.roster.all()) {
       const {instance, service} = member;
-      const record = this.around.machine.member(service, instance);
+      const record = this.dependencies.machine.member(service, instance);
       if (!record?.recovering || record.born !== member.born) continue;
       if (this.recoveries.has(instance)) continue;
       this.recoveries.add(instance);
-      void this.recover(record).then(() => this.recoveries.delete(instance));
+      void this.checkCaughtUp(record).then(() =>
+        this.recoveries.delete(instance),
+      );
     }
   }
 
-  private async recover(record: Member): Promise<void> {
-    const {machine, roster, log} = this.around;
+  private async checkCaughtUp(record: Member): Promise<void> {
+    const {machine, roster, log} = this.dependencies;
     const {service, instance, born} = record;
-    const lead = roster.get(machine.assignmentOf(service)?.instance ?? '');
-    if (!lead || lead.instance === instance) return;
-    const wanted = await this.watchOf(lead).sendCommand({kind: 'status'});
-    const held = await this.watchOf(record).sendCommand({kind: 'status'});
-    if (!wanted?.isPrimary || !held) return;
+    const primary = roster.get(machine.assignmentOf(service)?.instance ?? '');
+    if (!primary || primary.instance === instance) return;
+    const primaryStatus = await this.monitorOf(primary).sendCommand({
+      kind: 'status',
+    });
+    const own = await this.monitorOf(record).sendCommand({
+      kind: 'status',
+    });
+    if (!primaryStatus?.isPrimary || !own) return;
     const holdsAll =
-      comparePositions(held.receivedPosition, wanted.receivedPosition) >= 0;
+      comparePositions(own.receivedPosition, primaryStatus.receivedPosition) >=
+      0;
     if (!holdsAll || roster.get(instance)?.born !== born) return;
     const member = {...record, recovering: false};
-    const done = await this.propose({$case: 'admit', value: {member}});
-    const at = `${held.receivedPosition.term}/${held.receivedPosition.offset}`;
-    const fields = {service, instance, born, held: at, done: done.isOk};
+    const proposed = await this.propose({$case: 'admit', value: {member}});
+    const held = `${own.receivedPosition.term}/${own.receivedPosition.offset}`;
+    const fields = {
+      service,
+      instance,
+      born,
+      held,
+      done: proposed.isOk,
+    };
     log.info('A member has caught up.', fields);
   }
 
   private membersOf(service: string): Member[] {
-    return this.around.roster
+    return this.dependencies.roster
       .all()
-      .filter(other => other.service === service)
+      .filter(member => member.service === service)
       .map(member => ({...member, recovering: this.isRecovering(member)}));
   }
 
   /**
-   * Whether a member's log may lack what it confirmed. One that was connected
-   * before and is again may have started anew meanwhile; its next announcement
-   * tells.
+   * Whether the log of a member may lack commits that it confirmed. A member
+   * that reconnected may have restarted meanwhile; its next announcement tells.
    */
   private isRecovering(member: Member): boolean {
-    const {machine, roster} = this.around;
+    const {machine, roster} = this.dependencies;
     const record = machine.member(member.service, member.instance);
     if (record?.born !== member.born || record.recovering) return true;
-    const {reconnectedAt} = this.watchOf(member);
+    const {reconnectedAt} = this.monitorOf(member);
     return roster.lastHeardAt(member.instance) < reconnectedAt;
   }
 
-  private watchOf(member: Member): MemberMonitor {
-    const known = this.watches.get(member.instance);
-    if (known?.address === member.address) return known.watch;
-    known?.end();
-    const {memberAccess, clock} = this.around;
-    const own = ownController();
-    const end = () => own.abort();
+  private monitorOf(member: Member): MemberMonitor {
+    const existing = this.monitors.get(member.instance);
+    if (existing?.address === member.address) return existing.monitor;
+    existing?.end();
+    const {memberAccess, clock} = this.dependencies;
+    const controller = ownController();
+    const end = () => controller.abort();
     this.signal.addEventListener('abort', end, {once: true});
-    const watch = new MemberMonitor(
+    const monitor = new MemberMonitor(
       member,
       memberAccess.connector,
       memberAccess.reader,
       clock,
-      own.signal,
-      () => pingIntervalMs(this.watches.size),
+      controller.signal,
+      () => pingIntervalMs(this.monitors.size),
     );
     const {address} = member;
-    this.watches.set(member.instance, {watch, address, end});
-    return watch;
+    this.monitors.set(member.instance, {monitor, address, end});
+    return monitor;
   }
 
   private startDriver(service: string): void {
@@ -181,7 +198,7 @@
       publishedPrimaries,
       holders,
       machine,
-    } = this.around;
+    } = this.dependencies;
     const driver = new PromotionDriver({
       service,
       holder,
@@ -189,9 +206,9 @@
       log,
       access: memberAccess.orders,
       members: () => this.membersOf(service),
-      claimedPrimary: () => claimantOf(roster, service),
+      claimedPrimary: () => claimedPrimaryOf(roster, service),
       assignment: () => machine.assignmentOf(service),
-      monitorOf: member => this.watchOf(member),
+      monitorOf: member => this.monitorOf(member),
       failureReportsOf: instance => leader.failureReportsOf(service, instance),
       revokeLeases: () => {
         publishedPrimaries.revoke(service);
@@ -211,7 +228,7 @@
           clock.now(),
         );
       },
-      confirmLeadership: () => this.around.node.isLeadershipConfirmed(),
+      confirmLeadership: () => this.dependencies.node.isLeadershipConfirmed(),
       assignPrimary: (instance, ordered) => {
         const value = {service, holder, instance, ordered};
         return this.propose({$case: 'nameLead', value});
@@ -221,8 +238,8 @@
         return (await this.propose({$case: 'settleLead', value})).isOk;
       },
       onDidPromote: instance => {
-        const lead = machine.assignmentOf(service);
-        if (lead?.instance === instance) publishedPrimaries.publish(lead);
+        const current = machine.assignmentOf(service);
+        if (current?.instance === instance) publishedPrimaries.publish(current);
         roster.setPrimary(service, instance);
         leader.push();
       },
@@ -233,13 +250,13 @@
   private propose(
     body: NonNullable<FleetCommand['body']>,
   ): Promise<Result<number, string>> {
-    return this.around.node.propose(encodeCommand(body));
+    return this.dependencies.node.propose(encodeCommand(body));
   }
 }
 
-function claimantOf(roster: Roster, service: string): Member | undefined {
+function claimedPrimaryOf(roster: Roster, service: string): Member | undefined {
   return roster.all().find(member => {
-    const leads = member.role === ClaimedRole.CLAIMED_ROLE_PRIMARY;
-    return leads && member.service === service;
+    const claimsPrimary = member.role === ClaimedRole.CLAIMED_ROLE_PRIMARY;
+    return claimsPrimary && member.service === service;
   });
 }
--- a/src/services/fleet_control/test/node/limit_coordinator.test.ts
+++ b/src/services/fleet_control/test/node/limit_coordinator.test.ts
@@ -37,7 +37,7 @@
   counting = makeCounting();
 });
 
-/** What a leader begins with. */
+/** A coordinator as it is at the start of a leadership. */
 function makeCounting(): LimitCoordinator {
   return new LimitCoordinator(
     {
@@ -68,9 +68,9 @@
   }
 }
 
-it('names no counter and divides nothing where nobody has a limit', async () => {
-  // An earlier deployment gets this version: what its control writes into the
-  // log, and what its proxies are told, stays as it was.
+it('assigns no counters if no account has a limit', async () => {
+  // Deployments without limits must see no change in the log and in the
+  // messages to proxies.
   accounts = [makeLimited('oak')];
   await tendFor(10_000);
   expect(proposals).toBe(0);
@@ -82,7 +82,7 @@
   }
 });
 
-it('names counters with the reason, and gives them shares', async () => {
+it('assigns counters with a reason and gives them shares', async () => {
   accounts = [makeLimited('fern', 100)];
   await tendFor(2_000);
   const named = machine.counters.map(({instance}) => instance);
@@ -105,9 +105,9 @@
   expect(sum).toBeLessThanOrEqual(100);
 });
 
-it('gives no share away that an earlier leader may have given', async () => {
-  // Control's leader dies. The next one does not know what shares counters
-  // hold that did not come to it yet; the log tells that there are some.
+it('does not reassign shares of an earlier leader', async () => {
+  // A new leader does not know the shares of counters that have not reconnected
+  // yet; the log tells that there are counters.
   accounts = [makeLimited('fern', 100)];
   await tendFor(2_000);
   const [first] = machine.counters;
