--- a/src/services/catalog/common/catalog_delta.ts
+++ b/src/services/catalog/common/catalog_delta.ts
@@ -8,10 +8,8 @@
 import {applyListDelta} from '../../fleet_link/common/revisioned_list';
 
 /**
- * What turns one catalog into another.
- *
- * Buys: a change of one route is some 80 bytes to each proxy where the whole
- * catalog is 60 for each route, on links of 2 Mbit/s and between regions.
+ * Computes the difference between two catalogs. A delta is much smaller than
+ * the catalog, which keeps links to many proxies and between regions free.
  */
 export function makeCatalogDelta(base: Catalog, next: Catalog): CatalogDelta {
   const routes = changesOf(base.routes, next.routes, databaseOf, isSameRoute);
@@ -36,10 +34,10 @@
 }
 
 /**
- * The catalog that a delta makes of its base; undefined for any other base.
+ * Applies a delta; undefined if it is based on another version.
  *
- * Guard: a proxy that lost a catalog on the way would obey a mixture that no
- * operator ever handed in.
+ * Guard: a proxy that missed a version would otherwise use a mixture of
+ * catalogs that no operator submitted.
  */
 export function applyCatalogDelta(
   base: Catalog,
@@ -64,10 +62,10 @@
   };
 }
 
-/** What turns one list of named entries into another. */
+/** The difference between two lists. */
 interface ListChanges<T> {
   readonly changed: T[];
-  /** Names of the entries that are gone. */
+  /** Names of removed entries. */
   readonly dropped: string[];
 }
 
@@ -77,13 +75,13 @@
   nameOf: (entry: T) => string,
   isSame: (a: T, b: T) => boolean,
 ): ListChanges<T> {
-  const before = new Map(base.map(entry => [nameOf(entry), entry]));
-  const after = new Set(next.map(nameOf));
+  const previous = new Map(base.map(entry => [nameOf(entry), entry]));
+  const nextNames = new Set(next.map(nameOf));
   const changed = next.filter(entry => {
-    const known = before.get(nameOf(entry));
-    return known === undefined || !isSame(known, entry);
+    const existing = previous.get(nameOf(entry));
+    return existing === undefined || !isSame(existing, entry);
   });
-  const dropped = [...before.keys()].filter(name => !after.has(name));
+  const dropped = [...previous.keys()].filter(name => !nextNames.has(name));
   return {changed, dropped};
 }
 
@@ -122,8 +120,8 @@
   b: readonly ServiceEntry[],
 ): boolean {
   if (a.length !== b.length) return false;
-  return a.every((entry, at) => {
-    const other = b[at]!;
+  return a.every((entry, index) => {
+    const other = b[index]!;
     return (
       entry.service === other.service &&
       entry.connections === other.connections &&
--- a/src/services/catalog/test/common/catalog_delta.test.ts
+++ b/src/services/catalog/test/common/catalog_delta.test.ts
@@ -12,7 +12,7 @@
 } from '../../../gateway/test/node/session_fixture';
 import {applyCatalogDelta, makeCatalogDelta} from '../../common/catalog_delta';
 
-/** A catalog after some random changes of an operator. */
+/** A catalog after some random changes. */
 function change(catalog: Catalog, random: SeededRandom): Catalog {
   let {routes, services} = catalog;
   for (let count = random.integer(0, 4); count > 0; count--) {
@@ -43,7 +43,7 @@
   return {accounts: [...others, {account, keyDigests, limit}]};
 }
 
-/** A catalog without the order of its lists, which says nothing. */
+/** The content of a catalog, without the order of its lists. */
 function contentOf({routes, accounts, ...rest}: Catalog) {
   const byDatabase = new Map<string, DatabaseRoute>();
   for (const route of routes) byDatabase.set(route.database, route);
@@ -52,27 +52,27 @@
   return {...rest, byDatabase, byAccount, counts};
 }
 
-describe('a change of the catalog', () => {
-  it('makes the next one of the one before, whatever changed', () => {
+describe('a catalog delta', () => {
+  it('turns a catalog into the next one', () => {
     for (let seed = 1; seed <= 500; seed++) {
       const random = new SeededRandom(seed);
-      let held = makeCatalog([makeRoute()]);
+      let current = makeCatalog([makeRoute()]);
       for (let step = 0; step < 6; step++) {
-        const next = change(held, random);
+        const next = change(current, random);
         const bytes = CatalogDelta.encode(
-          makeCatalogDelta(held, next),
+          makeCatalogDelta(current, next),
         ).finish();
-        const applied = applyCatalogDelta(held, CatalogDelta.decode(bytes));
+        const applied = applyCatalogDelta(current, CatalogDelta.decode(bytes));
         expect(contentOf(applied!), `seed ${seed}`).toEqual(contentOf(next));
-        held = applied!;
+        current = applied!;
       }
     }
   });
 
-  it('applies to no other catalog', () => {
-    // A proxy lost a catalog with its stream, and the next change came over a
-    // new one. Applied to what it had, a route that was dropped between would
-    // go on being served.
+  it('applies to no other base version', () => {
+    // A proxy missed a version when its stream broke and then received a delta.
+    // Applied to an older version, a route that was removed in between would
+    // still be served.
     const first = makeCatalog([makeRoute()], {version: 1});
     const second = makeCatalog([makeRoute()], {version: 2});
     const third = makeCatalog([], {version: 3});
@@ -80,9 +80,9 @@
     expect(applyCatalogDelta(first, delta)).toBeUndefined();
   });
 
-  it('of one route among hundreds takes less than 150 bytes', () => {
-    // Load: 1,400 routes and a change a second to 191 proxies on links of
-    // 2 Mbit/s. Whole catalogs of 84 KB took a third of a second each.
+  it('of one route in a large catalog takes less than 150 bytes', () => {
+    // Load: a large catalog that changes each second, sent to many proxies on
+    // slow links.
     const routes = Array.from({length: 1_400}, (...[, at]) => {
       return makeRoute({database: `database-${at}`, name: `route-${at}`});
     });
--- a/src/services/control_state/common/control_machine.ts
+++ b/src/services/control_state/common/control_machine.ts
@@ -13,12 +13,12 @@
   type SetDrain,
 } from '../../../schema/generated/control';
 
-/** How many change ids are remembered for operators who ask again. */
-const MOST_CHANGES = 20_000;
-const MOST_JOURNAL_ENTRIES = 2_000;
-const MOST_TERM_STARTS = 256;
+/** Outcomes kept for operators that repeat a change. */
+const MAX_CHANGES = 20_000;
+const MAX_JOURNAL_ENTRIES = 2_000;
+const MAX_TERM_STARTS = 256;
 
-/** The state of a system that nothing has happened to. */
+/** The initial state. */
 export function emptyControlState(): ControlState {
   return {
     settingsVersion: 0,
@@ -33,16 +33,16 @@
 }
 
 /**
- * The replicated state of control. Every instance applies the same commands in
- * the same order, so a command that has become stale is passed over here, not
- * where it was proposed.
+ * The replicated state of control. Commands are applied in the same order
+ * everywhere, so the check for stale commands is here and not where they are
+ * proposed.
  */
 export class ControlMachine {
-  private services = new Map<string, ServiceRecord>();
-  private changes = new Map<string, ChangeOutcome>();
+  private serviceRecords = new Map<string, ServiceRecord>();
+  private changeOutcomes = new Map<string, ChangeOutcome>();
 
   constructor(private current: ControlState = emptyControlState()) {
-    this.index();
+    this.buildIndexes();
   }
 
   get state(): ControlState {
@@ -50,27 +50,27 @@
   }
 
   service(name: string): ServiceRecord | undefined {
-    return this.services.get(name);
+    return this.serviceRecords.get(name);
   }
 
-  /** What an operator's change came to, if it is known. */
+  /** The outcome of an operator's change; undefined if unknown. */
   outcomeOf(changeId: string): ChangeOutcome | undefined {
-    return this.changes.get(changeId);
+    return this.changeOutcomes.get(changeId);
   }
 
   restore(state: ControlState): void {
     this.current = state;
-    this.index();
+    this.buildIndexes();
   }
 
   apply(index: number, command: Command): void {
     const {body, wallTimeMs} = command;
-    const note = (entry: Omit<JournalEntry, 'index' | 'wallTimeMs'>) => {
-      this.note({index, wallTimeMs, ...entry});
+    const addEntry = (entry: Omit<JournalEntry, 'index' | 'wallTimeMs'>) => {
+      this.addJournalEntry({index, wallTimeMs, ...entry});
     };
     switch (body?.$case) {
       case 'applySettings':
-        return this.applySettings(index, body.value, note);
+        return this.applySettings(index, body.value, addEntry);
       case 'registerProxy':
         return this.registerProxy(body.value.proxy!);
       case 'forgetProxy':
@@ -78,46 +78,52 @@
       case 'registerMember':
         return this.registerMember(index, body.value);
       case 'beginChange':
-        return this.beginChange(index, body.value, note);
+        return this.beginChange(index, body.value, addEntry);
       case 'completeChange':
-        return this.completeChange(index, body.value, note);
+        return this.completeChange(index, body.value, addEntry);
       case 'setDrain':
-        return this.setDrain(index, body.value, note);
+        return this.setDrain(index, body.value, addEntry);
       case 'record':
-        return note(body.value);
+        return addEntry(body.value);
       default:
         return;
     }
   }
 
-  private index(): void {
+  private buildIndexes(): void {
     const {services, changes} = this.current;
-    this.services = new Map(services.map(record => [record.name, record]));
-    this.changes = new Map(
+    this.serviceRecords = new Map(
+      services.map(record => [record.name, record]),
+    );
+    this.changeOutcomes = new Map(
       changes.map(({changeId, outcome}) => [changeId, outcome!]),
     );
   }
 
-  private note(entry: JournalEntry): void {
+  private addJournalEntry(entry: JournalEntry): void {
     const {journal} = this.current;
     journal.push(entry);
-    if (journal.length > MOST_JOURNAL_ENTRIES) journal.shift();
+    if (journal.length > MAX_JOURNAL_ENTRIES) journal.shift();
   }
 
-  private applySettings(index: number, change: ApplySettings, note: Note) {
-    // A change that is resent after its answer was lost must not count twice
-    // nor lose against itself: it gets its first answer.
-    if (this.changes.has(change.changeId)) return;
+  private applySettings(
+    index: number,
+    change: ApplySettings,
+    addEntry: JournalWriter,
+  ) {
+    // A change that is sent again after a lost reply must neither be applied
+    // twice nor conflict with itself; it gets the first outcome.
+    if (this.changeOutcomes.has(change.changeId)) return;
     const state = this.current;
     if (change.baseVersion !== state.settingsVersion) {
       const detail = `based on version ${change.baseVersion}, in force is ${state.settingsVersion}`;
-      this.remember(change.changeId, {
+      this.recordOutcome(change.changeId, {
         accepted: false,
         version: state.settingsVersion,
         winnerChangeId: state.settingsChangeId,
         detail,
       });
-      note({
+      addEntry({
         subject: 'settings',
         event: 'refused',
         cause: detail,
@@ -129,13 +135,13 @@
     state.settingsText = change.text;
     state.settingsChangeId = change.changeId;
     state.revision = index;
-    this.remember(change.changeId, {
+    this.recordOutcome(change.changeId, {
       accepted: true,
       version: state.settingsVersion,
       winnerChangeId: change.changeId,
       detail: '',
     });
-    note({
+    addEntry({
       subject: 'settings',
       event: 'accepted',
       cause: `change ${change.changeId}`,
@@ -143,17 +149,19 @@
     });
   }
 
-  private remember(changeId: string, outcome: ChangeOutcome): void {
+  private recordOutcome(changeId: string, outcome: ChangeOutcome): void {
     const {changes} = this.current;
     changes.push({changeId, outcome});
-    this.changes.set(changeId, outcome);
-    if (changes.length <= MOST_CHANGES) return;
-    this.changes.delete(changes.shift()!.changeId);
+    this.changeOutcomes.set(changeId, outcome);
+    if (changes.length <= MAX_CHANGES) return;
+    this.changeOutcomes.delete(changes.shift()!.changeId);
   }
 
   private registerProxy(proxy: ProxyRecord): void {
-    const known = this.current.proxies.some(other => isSame(other, proxy));
-    if (!known) this.current.proxies.push(proxy);
+    const isRegistered = this.current.proxies.some(other =>
+      isSame(other, proxy),
+    );
+    if (!isRegistered) this.current.proxies.push(proxy);
   }
 
   private forgetProxy(proxy: ProxyRecord): void {
@@ -164,18 +172,18 @@
 
   private registerMember(index: number, {service, member}: RegisterMember) {
     if (!member) return;
-    const record = this.services.get(service) ?? this.addService(service);
-    const known = record.members.find(({instance}) => {
+    const record = this.serviceRecords.get(service) ?? this.addService(service);
+    const existing = record.members.find(({instance}) => {
       return instance === member.instance;
     });
-    if (known) {
-      known.site = member.site;
-      const forming = record.phase === Phase.PHASE_FORMING;
-      if (forming) known.incarnation = member.incarnation;
+    if (existing) {
+      existing.site = member.site;
+      const isForming = record.phase === Phase.PHASE_FORMING;
+      if (isForming) existing.incarnation = member.incarnation;
     } else {
       record.members.push(member);
     }
-    this.touch(record, index);
+    this.markChanged(record, index);
   }
 
   private addService(name: string): ServiceRecord {
@@ -192,12 +200,16 @@
       primaryIncarnation: '',
     };
     this.current.services.push(record);
-    this.services.set(name, record);
+    this.serviceRecords.set(name, record);
     return record;
   }
 
-  private beginChange(index: number, change: BeginChange, note: Note): void {
-    const record = this.services.get(change.service);
+  private beginChange(
+    index: number,
+    change: BeginChange,
+    addEntry: JournalWriter,
+  ): void {
+    const record = this.serviceRecords.get(change.service);
     if (!record || record.term !== change.fromTerm) return;
     if (change.term <= record.term) return;
     record.term = change.term;
@@ -206,8 +218,8 @@
     record.phase = Phase.PHASE_CHANGING;
     record.planned = change.planned;
     record.cause = change.cause;
-    this.touch(record, index);
-    note({
+    this.markChanged(record, index);
+    addEntry({
       subject: `service ${record.name}`,
       event: `term ${record.term} begun`,
       cause: change.cause,
@@ -218,9 +230,9 @@
   private completeChange(
     index: number,
     change: CompleteChange,
-    note: Note,
+    addEntry: JournalWriter,
   ): void {
-    const record = this.services.get(change.service);
+    const record = this.serviceRecords.get(change.service);
     if (!record || record.term !== change.term) return;
     if (record.phase !== Phase.PHASE_CHANGING) return;
     record.phase = Phase.PHASE_STEADY;
@@ -231,9 +243,9 @@
       baseOffset: change.baseOffset,
       baseTerm: change.baseTerm,
     });
-    if (record.termStarts.length > MOST_TERM_STARTS) record.termStarts.shift();
-    this.touch(record, index);
-    note({
+    if (record.termStarts.length > MAX_TERM_STARTS) record.termStarts.shift();
+    this.markChanged(record, index);
+    addEntry({
       subject: `service ${record.name}`,
       event: `${change.primary} chosen for term ${change.term}`,
       cause: record.cause,
@@ -241,14 +253,18 @@
     });
   }
 
-  private setDrain(index: number, change: SetDrain, note: Note): void {
-    if (this.changes.has(change.changeId)) return;
-    const record = this.services.get(change.service);
+  private setDrain(
+    index: number,
+    change: SetDrain,
+    addEntry: JournalWriter,
+  ): void {
+    if (this.changeOutcomes.has(change.changeId)) return;
+    const record = this.serviceRecords.get(change.service);
     const member = record?.members.find(({instance}) => {
       return instance === change.instance;
     });
     const accepted = record !== undefined && member !== undefined;
-    this.remember(change.changeId, {
+    this.recordOutcome(change.changeId, {
       accepted,
       version: this.current.settingsVersion,
       winnerChangeId: change.changeId,
@@ -256,8 +272,8 @@
     });
     if (!accepted) return;
     member.draining = change.draining;
-    this.touch(record, index);
-    note({
+    this.markChanged(record, index);
+    addEntry({
       subject: `service ${record.name}`,
       event: `${member.instance} ${change.draining ? 'drained' : 'undrained'}`,
       cause: `change ${change.changeId}`,
@@ -265,13 +281,15 @@
     });
   }
 
-  private touch(record: ServiceRecord, index: number): void {
+  private markChanged(record: ServiceRecord, index: number): void {
     record.revision = index;
     this.current.revision = index;
   }
 }
 
-type Note = (entry: Omit<JournalEntry, 'index' | 'wallTimeMs'>) => void;
+type JournalWriter = (
+  entry: Omit<JournalEntry, 'index' | 'wallTimeMs'>,
+) => void;
 
 function isSame(a: ProxyRecord, b: ProxyRecord): boolean {
   return a.instance === b.instance && a.incarnation === b.incarnation;
--- a/src/services/fleet_state/common/fleet_command.ts
+++ b/src/services/fleet_state/common/fleet_command.ts
@@ -1,6 +1,6 @@
 import {FleetCommand} from '../../../schema/generated/fleet';
 
-/** A command's bytes for the control log. */
+/** Encodes a command for the control log. */
 export function encodeCommand(body: NonNullable<FleetCommand['body']>): Buffer {
   return Buffer.from(FleetCommand.encode({body}).finish());
 }
--- a/src/services/fleet_state/common/fleet_state_machine.ts
+++ b/src/services/fleet_state/common/fleet_state_machine.ts
@@ -9,85 +9,87 @@
   type PrimaryAssignment,
 } from '../../../schema/generated/fleet';
 
-/** What became of a catalog that was put into the log. */
+/** The outcome of a catalog in the log. */
 export type PublishOutcome =
   | 'in force'
-  /** The same version with the same content is in force already. */
-  | 'repeated'
-  /** A higher version is in force; nothing changed. */
-  | 'overtaken'
-  /** The same version with other content is in force. */
+  /** The same version with the same content was applied before. */
+  | 'unchanged'
+  /** A higher version was applied before. */
+  | 'superseded'
+  /** The same version with other content was applied before. */
   | 'conflict';
 
 /**
- * The state of the control log where targets confirm commits themselves: the
- * newest catalog, the members whose logs count at a promotion, who leads each
- * service by which decision, and the poolers.
+ * The replicated state of control for services whose members confirm commits
+ * themselves: the newest catalog, the members whose logs count at a promotion,
+ * the primary assignments, the poolers and the counters.
  */
 export class FleetStateMachine {
   private version = 0;
   private source: Buffer = Buffer.alloc(0);
-  private registered: Member[] = [];
-  private named: readonly PoolerEntry[] = [];
-  private namedAt = 0;
+  private registeredMembers: Member[] = [];
+  private assignedPoolers: readonly PoolerEntry[] = [];
+  private poolersIndex = 0;
   private recordedProxyCount = 0;
-  private countersNamed: readonly CounterEntry[] = [];
-  private readonly leadOf = new Map<string, PrimaryAssignment>();
+  private assignedCounters: readonly CounterEntry[] = [];
+  private readonly assignmentByService = new Map<string, PrimaryAssignment>();
 
-  /** Outcomes of the newest entries, for those who proposed them. */
+  /** Outcomes of recent entries, for the instance that proposed them. */
   private readonly outcomes = new Map<number, PublishOutcome>();
 
   get catalogVersion(): number {
     return this.version;
   }
 
-  /** The compressed source of the catalog in force; empty without one. */
+  /** The compressed source of the current catalog; empty before the first. */
   get catalogSource(): Buffer {
     return this.source;
   }
 
-  /** The members of a service whose logs count at a promotion. */
+  /** The members whose logs count at a promotion. */
   get members(): readonly Member[] {
-    return this.registered;
+    return this.registeredMembers;
   }
 
-  /** The proxies that keep connections for others. */
+  /** The poolers of all services. */
   get poolers(): readonly PoolerEntry[] {
-    return this.named;
+    return this.assignedPoolers;
   }
 
-  /** Increases with each change of the poolers, across all leaders. */
+  /**
+   * Log index of the last change of the poolers; increases across leaderships.
+   */
   get poolersRevision(): number {
-    return this.namedAt;
+    return this.poolersIndex;
   }
 
-  /** How many proxies there usually are; 0 where that is not known. */
+  /** The recorded number of proxies; 0 if unknown. */
   get expectedProxyCount(): number {
     return this.recordedProxyCount;
   }
 
-  /** The proxies that count operations of accounts, or may still do so. */
+  /** The counters, and former ones that may still hold shares. */
   get counters(): readonly CounterEntry[] {
-    return this.countersNamed;
+    return this.assignedCounters;
   }
 
-  /** Who leads each service, by the newest decision. */
+  /** The newest primary assignment of each service. */
   get assignments(): readonly PrimaryAssignment[] {
-    return [...this.leadOf.values()];
+    return [...this.assignmentByService.values()];
   }
 
-  /** Who leads a service; undefined before the first decision. */
+  /** The newest primary assignment of a service; undefined before the first. */
   assignmentOf(service: string): PrimaryAssignment | undefined {
-    return this.leadOf.get(service);
+    return this.assignmentByService.get(service);
   }
 
   member(service: string, instance: string): Member | undefined {
-    return this.registered.find(other => {
+    return this.registeredMembers.find(other => {
       return other.service === service && other.instance === instance;
     });
   }
 
-  /** What became of the catalog at a log index; forgotten once it was asked. */
+  /** Returns and removes the outcome of the catalog at a log index. */
   takeOutcome(index: number): PublishOutcome | undefined {
     const outcome = this.outcomes.get(index);
     this.outcomes.delete(index);
@@ -98,25 +100,25 @@
     const {body} = FleetCommand.decode(command);
     switch (body?.$case) {
       case 'publish':
-        this.keepOutcome(index, this.publish(body.value));
+        this.recordOutcome(index, this.publish(body.value));
         return;
       case 'admit': {
         const {member} = body.value;
-        if (member) this.admit(member);
+        if (member) this.addMember(member);
         return;
       }
       case 'forget':
-        this.remove(body.value.service, body.value.instance);
+        this.removeMember(body.value.service, body.value.instance);
         return;
       case 'namePoolers':
-        this.named = body.value.poolers;
-        this.namedAt = index;
+        this.assignedPoolers = body.value.poolers;
+        this.poolersIndex = index;
         return;
       case 'countProxies':
         this.recordedProxyCount = body.value.proxies;
         return;
       case 'nameCounters':
-        this.countersNamed = body.value.counters;
+        this.assignedCounters = body.value.counters;
         return;
       case 'nameLead':
         return this.assignPrimary(index, body.value);
@@ -131,12 +133,12 @@
     const state = {
       version: this.version,
       source: this.source,
-      members: this.registered,
-      poolers: [...this.named],
-      poolersIndex: this.namedAt,
+      members: this.registeredMembers,
+      poolers: [...this.assignedPoolers],
+      poolersIndex: this.poolersIndex,
       leads: [...this.assignments],
       proxies: this.recordedProxyCount,
-      counters: [...this.countersNamed],
+      counters: [...this.assignedCounters],
     };
     return Buffer.from(FleetState.encode(state).finish());
   }
@@ -145,64 +147,67 @@
     const decoded = FleetState.decode(state);
     const {version, source, members, poolers, poolersIndex, leads} = decoded;
     this.recordedProxyCount = decoded.proxies;
-    this.countersNamed = decoded.counters;
-    this.leadOf.clear();
-    for (const lead of leads) this.leadOf.set(lead.service, lead);
-    this.named = poolers;
-    this.namedAt = poolersIndex;
+    this.assignedCounters = decoded.counters;
+    this.assignmentByService.clear();
+    for (const lead of leads) this.assignmentByService.set(lead.service, lead);
+    this.assignedPoolers = poolers;
+    this.poolersIndex = poolersIndex;
     this.version = version;
     this.source = source;
-    this.registered = members;
+    this.registeredMembers = members;
   }
 
   private publish({version, source}: PublishCatalog): PublishOutcome {
-    if (version < this.version) return 'overtaken';
+    if (version < this.version) return 'superseded';
     if (version === this.version) {
-      return source.equals(this.source) ? 'repeated' : 'conflict';
+      return source.equals(this.source) ? 'unchanged' : 'conflict';
     }
     this.version = version;
     this.source = source;
     return 'in force';
   }
 
-  /** An announcement of an earlier life may be admitted late. */
-  private admit(member: Member): void {
+  /** Entries for an earlier incarnation of the member are ignored. */
+  private addMember(member: Member): void {
     const {service, instance, born} = member;
-    const known = this.member(service, instance);
-    if (known && born < known.born) return;
-    this.remove(service, instance);
-    this.registered.push(member);
+    const existing = this.member(service, instance);
+    if (existing && born < existing.born) return;
+    this.removeMember(service, instance);
+    this.registeredMembers.push(member);
   }
 
   private assignPrimary(
     epoch: number,
     {service, instance, ordered}: AssignPrimary,
   ) {
-    const known = this.leadOf.get(service);
-    // A copy of an earlier order for the same member may still be on its way.
-    const wasOrdered = known?.instance === instance && known.pending;
-    const pending = ordered || wasOrdered;
-    this.leadOf.set(service, {service, instance, epoch, pending});
+    const current = this.assignmentByService.get(service);
+    // A copy of an earlier promotion request for the same member may still
+    // arrive.
+    const hasPendingRequest = current?.instance === instance && current.pending;
+    const pending = ordered || hasPendingRequest;
+    this.assignmentByService.set(service, {service, instance, epoch, pending});
   }
 
   private completePromotion(service: string, epoch: number): void {
-    const lead = this.leadOf.get(service);
-    if (lead?.epoch !== epoch) return;
-    this.leadOf.set(service, {...lead, pending: false});
+    const assignment = this.assignmentByService.get(service);
+    if (assignment?.epoch !== epoch) return;
+    this.assignmentByService.set(service, {...assignment, pending: false});
   }
 
-  private remove(service: string, instance: string): void {
-    const gone = this.member(service, instance);
-    this.registered = this.registered.filter(other => other !== gone);
+  private removeMember(service: string, instance: string): void {
+    const removed = this.member(service, instance);
+    this.registeredMembers = this.registeredMembers.filter(
+      other => other !== removed,
+    );
   }
 
-  /** Bounded: outcomes of entries that others proposed are never asked for. */
-  private keepOutcome(index: number, outcome: PublishOutcome): void {
+  /** Bounded, since outcomes of entries of other proposers are never taken. */
+  private recordOutcome(index: number, outcome: PublishOutcome): void {
     this.outcomes.set(index, outcome);
     const [oldest] = this.outcomes.keys();
-    if (this.outcomes.size > MOST_OUTCOMES) this.outcomes.delete(oldest!);
+    if (this.outcomes.size > MAX_OUTCOMES) this.outcomes.delete(oldest!);
   }
 }
 
-/** More than the operators' changes that are under way at once. */
-const MOST_OUTCOMES = 256;
+/** More than the number of catalogs submitted at the same time. */
+const MAX_OUTCOMES = 256;
--- a/src/services/fleet_state/test/common/fleet_state_machine.test.ts
+++ b/src/services/fleet_state/test/common/fleet_state_machine.test.ts
@@ -14,25 +14,25 @@
 };
 
 describe('catalogs in the control log', () => {
-  it('are in force by the highest version', () => {
+  it('are applied only in increasing order of versions', () => {
     const machine = new FleetStateMachine();
     expect(publish(machine, 1, 4, 'four')).toBe('in force');
     expect(publish(machine, 2, 9, 'nine')).toBe('in force');
-    expect(publish(machine, 3, 7, 'seven')).toBe('overtaken');
+    expect(publish(machine, 3, 7, 'seven')).toBe('superseded');
     expect(machine.catalogVersion).toBe(9);
   });
 
-  it('take the first of two operators who send one version', () => {
-    // Two operators change the same version at once. The second must hear that
-    // it lost, and must never be in force; the first may send its own again.
+  it('conflict if two operators submit the same version', () => {
+    // Two operators submit the same version. The second must be told that it
+    // lost and must not be applied; the first may repeat its own.
     const machine = new FleetStateMachine();
     expect(publish(machine, 1, 4, 'mine')).toBe('in force');
     expect(publish(machine, 2, 4, 'yours')).toBe('conflict');
-    expect(publish(machine, 3, 4, 'mine')).toBe('repeated');
+    expect(publish(machine, 3, 4, 'mine')).toBe('unchanged');
     expect(machine.catalogSource.toString()).toBe('mine');
   });
 
-  it('and members come back from a snapshot', () => {
+  it('are restored from a snapshot, as are members', () => {
     const machine = new FleetStateMachine();
     publish(machine, 1, 4, 'four');
     const member = {
@@ -57,8 +57,8 @@
   });
 });
 
-describe('leads in the control log', () => {
-  const name = (
+describe('primary assignments in the control log', () => {
+  const assign = (
     machine: FleetStateMachine,
     index: number,
     instance: string,
@@ -69,10 +69,10 @@
     return machine.assignmentOf('s');
   };
 
-  it('are by the newest decision, whose index is the epoch', () => {
+  it('follow the newest decision, whose index is the epoch', () => {
     const machine = new FleetStateMachine();
-    expect(name(machine, 4, 'm1', false)).toMatchObject({epoch: 4});
-    expect(name(machine, 7, 'm2', true)).toMatchObject({
+    expect(assign(machine, 4, 'm1', false)).toMatchObject({epoch: 4});
+    expect(assign(machine, 7, 'm2', true)).toMatchObject({
       instance: 'm2',
       epoch: 7,
       pending: true,
@@ -82,13 +82,13 @@
     expect(copy.assignmentOf('s')).toEqual(machine.assignmentOf('s'));
   });
 
-  it('stay pending until no copy of an order is on its way', () => {
-    // An order got no answer and may be carried out seconds later. Control
-    // names the same member again meanwhile. Taken for settled, another member
-    // could be ordered, and the late copy would depose it.
+  it('stay pending until no copy of a request can arrive', () => {
+    // A promotion request without a reply may take effect later. If an older
+    // request could settle the assignment, another member could be promoted and
+    // then deposed by the late copy.
     const machine = new FleetStateMachine();
-    name(machine, 7, 'm2', true);
-    expect(name(machine, 8, 'm2', false)?.pending).toBe(true);
+    assign(machine, 7, 'm2', true);
+    expect(assign(machine, 8, 'm2', false)?.pending).toBe(true);
     const settle = {service: 's', epoch: 7};
     machine.apply(9, encodeCommand({$case: 'settleLead', value: settle}));
     expect(machine.assignmentOf('s')?.pending).toBe(true);
--- a/src/services/membership/common/elastic_membership_plan.ts
+++ b/src/services/membership/common/elastic_membership_plan.ts
@@ -6,29 +6,29 @@
   type Joiner,
 } from './membership_plan';
 
-/** A voter that was silent for this long is replaced, in milliseconds. */
-const LOST_AFTER_MS = 8_000;
+/** Silence after which a voter is replaced. */
+const REPLACE_SILENT_AFTER_MS = 8_000;
 
-/** What a plan for a group without a fixed list is made from. */
+/** The state of a control group without a fixed list of members. */
 export interface ElasticMembershipView {
   readonly configuration: Configuration;
   readonly joiners: readonly Joiner[];
-  /** Voters that the group should have. */
+  /** Number of voters that the group should have. */
   readonly desiredVoterCount: number;
   readonly commitIndex: number;
   matchIndexOf(id: string): number;
-  /** For how long the leader has not heard a peer, in milliseconds. */
+  /** Time since the leader last heard from a peer, in milliseconds. */
   silentMsOf(id: string): number;
 }
 
 /**
- * The next single change of a control group whose instances nobody lists, or
- * undefined.
+ * The next single change of a control group without a fixed list of members;
+ * undefined if there is none.
  *
- * Whoever asks becomes a learner. One that has caught up becomes a voter where
- * one is missing, or takes the place of a voter whose data folder is lost (a
- * new incarnation at its address) or that was silent for long. An instance
- * that forgot its vote thus never counts before it holds the log.
+ * Every instance that joins becomes a learner. A learner that has caught up
+ * becomes a voter if one is missing, or replaces a voter that lost its data
+ * folder (a new incarnation at the same address) or is silent for long. An
+ * instance without its log thus never votes.
  */
 export function planElasticMembership(
   view: ElasticMembershipView,
@@ -43,7 +43,7 @@
   const [learner] = learners;
   if (!learner) return undefined;
   if (voters.length < view.desiredVoterCount) return promote(peers, learner);
-  const replaced = voters.find(voter => isReplaced(view, voter, learners));
+  const replaced = voters.find(voter => isReplaceable(view, voter, learners));
   return replaced && {peers: peers.filter(peer => peer !== replaced)};
 }
 
@@ -55,7 +55,7 @@
   };
 }
 
-function isReplaced(
+function isReplaceable(
   view: ElasticMembershipView,
   voter: Peer,
   learners: readonly Peer[],
@@ -63,5 +63,5 @@
   const isSuperseded = learners.some(learner => {
     return instanceOf(learner.id) === instanceOf(voter.id);
   });
-  return isSuperseded || view.silentMsOf(voter.id) >= LOST_AFTER_MS;
+  return isSuperseded || view.silentMsOf(voter.id) >= REPLACE_SILENT_AFTER_MS;
 }
--- a/src/services/membership/common/membership_plan.ts
+++ b/src/services/membership/common/membership_plan.ts
@@ -1,18 +1,18 @@
 import type {Configuration, Peer} from '../../../schema/generated/consensus';
 
-/** How many entries behind the commit a learner may be to become a voter. */
-const CAUGHT_UP_ENTRIES = 16;
+/** Maximum lag behind the commit index at which a learner becomes a voter. */
+const MAX_LEARNER_LAG_ENTRIES = 16;
 
-/** A control instance that asks to be taken in. */
+/** A control instance that asks to join the group. */
 export interface Joiner {
   readonly id: string;
   readonly address: string;
 }
 
-/** What a plan is made from. */
+/** The state of a control group whose instances are listed in the settings. */
 export interface MembershipView {
   readonly configuration: Configuration;
-  /** Instances that the settings name. */
+  /** Instances that are listed in the settings. */
   readonly allowedInstances: ReadonlySet<string>;
   readonly joiners: readonly Joiner[];
   readonly commitIndex: number;
@@ -20,12 +20,12 @@
 }
 
 /**
- * The next single change of the control group, or undefined.
+ * The next single change of the control group; undefined if there is none.
  *
- * A joiner is a learner first. Only once it has caught up does it take the
- * place of the voter of the same instance, whose data folder is lost: so a
- * repair never counts an empty log towards a majority, and a second loss
- * right after it stalls the group rather than forks it.
+ * A joining instance becomes a learner. Once it has caught up, it replaces the
+ * voter of the same instance, whose data folder was lost. An empty log thus
+ * never counts towards a majority, and a second loss during a repair stalls the
+ * group instead of forking it.
  */
 export function planMembership(
   view: MembershipView,
@@ -47,36 +47,41 @@
   };
 }
 
-/** The instance that an id belongs to. */
+/** The instance of a peer id; the part behind `#` is its incarnation. */
 export function instanceOf(id: string): string {
   return id.split('#')[0]!;
 }
 
-/** The peers with a joiner taken in as a learner; undefined if it is known. */
+/**
+ * Returns the peers with the joining instance as a learner; undefined if it is
+ * a peer already.
+ */
 export function addLearner(
   peers: readonly Peer[],
   {id, address}: Joiner,
 ): Peer[] | undefined {
-  const known = peers.find(peer => peer.id === id);
-  if (known?.address === address) return undefined;
-  if (known) {
-    return peers.map(peer => (peer === known ? {...peer, address} : peer));
+  const existing = peers.find(peer => peer.id === id);
+  if (existing?.address === address) return undefined;
+  if (existing) {
+    return peers.map(peer => (peer === existing ? {...peer, address} : peer));
   }
-  const kept = peers.filter(peer => {
+  const otherPeers = peers.filter(peer => {
     return peer.voter || instanceOf(peer.id) !== instanceOf(id);
   });
-  return [...kept, {id, address, voter: false}];
+  return [...otherPeers, {id, address, voter: false}];
 }
 
-/** Whether a learner holds nearly all that is committed. */
+/**
+ * Whether a peer is a learner that has received nearly all committed entries.
+ */
 export function isCaughtUp(
   view: Pick<MembershipView, 'commitIndex' | 'matchIndexOf'>,
   peer: Peer,
 ): boolean {
   if (peer.voter) return false;
-  const match = view.matchIndexOf(peer.id);
-  const behind = view.commitIndex - match;
-  return match > 0 && behind <= CAUGHT_UP_ENTRIES;
+  const matchIndex = view.matchIndexOf(peer.id);
+  const lag = view.commitIndex - matchIndex;
+  return matchIndex > 0 && lag <= MAX_LEARNER_LAG_ENTRIES;
 }
 
 function isReplacedBy(peer: Peer, learner: Peer): boolean {
--- a/src/services/membership/test/common/elastic_membership_plan.test.ts
+++ b/src/services/membership/test/common/elastic_membership_plan.test.ts
@@ -31,21 +31,21 @@
 };
 
 describe('a control group without a fixed list', () => {
-  it('takes whoever asks in as a learner', () => {
+  it('adds a joining instance as a learner', () => {
     const joiners = [{id: 'd#1', address: 'd'}];
     const plan = planElasticMembership(view(FULL, {joiners}));
     expect(idsOf(plan)).toEqual(['a#1', 'b#1', 'c#1', 'd#1 learns']);
   });
 
-  it('puts no learner in the place of a voter that is heard', () => {
+  it('replaces no voter that is responsive', () => {
     expect(
       planElasticMembership(view([...FULL, peer('d#1', false)])),
     ).toBeUndefined();
   });
 
-  it('replaces a voter that was silent for long', () => {
-    // A machine is gone for good and an empty one came at another address.
-    // The group must have three voters again before the next loss.
+  it('replaces a voter that is silent for long', () => {
+    // A machine is lost and an empty one joins at another address. The group
+    // must have three voters again before the next loss.
     const silenceOf = (id: string) => (id === 'b#1' ? 9_000 : 0);
     const peers = [...FULL, peer('d#1', false)];
     const first = planElasticMembership(view(peers, {silentMsOf: silenceOf}))!;
@@ -56,7 +56,7 @@
     expect(idsOf(second)).toEqual(['a#1', 'c#1', 'd#1']);
   });
 
-  it('replaces a lost folder only by a new one that has caught up', () => {
+  it('replaces a voter without its data once a learner caught up', () => {
     const peers = [...FULL, peer('b#2', false)];
     const matchIndexOf = (id: string) => (id === 'b#2' ? 10 : 100);
     expect(planElasticMembership(view(peers, {matchIndexOf}))).toBeUndefined();
--- a/src/services/membership/test/common/membership_plan.test.ts
+++ b/src/services/membership/test/common/membership_plan.test.ts
@@ -24,20 +24,20 @@
   const group = [voter('a#1'), voter('b#1'), voter('c#1')];
   const joiner = {id: 'c#2', address: 'c#2'};
 
-  it('takes a member with a new data folder in as a learner', () => {
+  it('adds an instance with a new data folder as a learner', () => {
     const next = plan({peers: group, joiners: [joiner]});
     expect(next).toEqual([...group, learner('c#2')]);
   });
 
-  // c lost its disk and comes back empty; b is lost right after. Were c a
-  // voter at once, a and c would be a majority of which one knows nothing.
+  // Instance c lost its disk and returns empty; then b is lost. If c were a
+  // voter at once, a and c would be a majority of which one has no log.
   it('keeps it a learner until it has caught up', () => {
     const peers = [...group, learner('c#2')];
     const matchIndexOf = () => 400;
     expect(plan({peers, joiners: [joiner], matchIndexOf})).toBeUndefined();
   });
 
-  it('then takes the old voter out first, one change at a time', () => {
+  it('then removes the old voter before it adds the new one', () => {
     const peers = [...group, learner('c#2')];
     const matchIndexOf = () => 500;
     const removed = plan({peers, matchIndexOf});
@@ -49,7 +49,7 @@
     ]);
   });
 
-  it('takes nobody in whom the settings do not name', () => {
+  it('adds no instance that the settings do not list', () => {
     const stranger = {id: 'x#1', address: 'x'};
     expect(plan({peers: group, joiners: [stranger]})).toBeUndefined();
   });
--- a/src/services/roster/common/roster.ts
+++ b/src/services/roster/common/roster.ts
@@ -1,31 +1,31 @@
 import type {Member} from '../../../schema/generated/fleet';
 import {ClaimedRole} from '../../../schema/generated/fleet';
 
-/** One announcement of a member. */
+/** An announcement of a member. */
 export interface Announcement {
   readonly member: Member;
-  /** Increases with each announcement of one life of a member. */
+  /** Increases with each announcement of one incarnation of a member. */
   readonly sequence: number;
 }
 
-interface Entry {
+interface RosterEntry {
   member: Member;
   sequence: number;
-  /** -Infinity where it is known from the log only. */
-  heardAt: number;
+  /** -Infinity if the member is known from the log only. */
+  lastHeardAt: number;
 }
 
 /**
- * The members as the leader of control knows them: those of the log at once,
- * and what they announce since.
+ * The members known to the control leader: initially those of the log, then
+ * updated by announcements.
  */
 export class Roster {
-  private readonly entries = new Map<string, Entry>();
-  private changes = 0;
+  private readonly entries = new Map<string, RosterEntry>();
+  private currentRevision = 0;
 
-  /** Increases with each change that proxies must hear of. */
+  /** Increases with each change that is relevant for proxies. */
   get revision(): number {
-    return this.changes;
+    return this.currentRevision;
   }
 
   all(): Member[] {
@@ -37,52 +37,56 @@
   }
 
   lastHeardAt(instance: string): number {
-    return this.entries.get(instance)?.heardAt ?? -Infinity;
+    return this.entries.get(instance)?.lastHeardAt ?? -Infinity;
   }
 
-  /** Takes a member in that the log names. */
+  /** Adds a member of the log that has not announced itself yet. */
   restore(member: Member): void {
     if (this.entries.has(member.instance)) return;
-    const entry = {member, sequence: -1, heardAt: -Infinity};
+    const entry = {member, sequence: -1, lastHeardAt: -Infinity};
     this.entries.set(member.instance, entry);
-    this.changes++;
+    this.currentRevision++;
   }
 
   /**
-   * Takes an announcement. One that was overtaken on its way is ignored: it
-   * would undo a drain or a change of role, or bring back an earlier life.
+   * Applies an announcement. One that arrives out of order is ignored: it could
+   * undo a drain or a change of role, or restore an earlier incarnation.
    */
   announce({member, sequence}: Announcement, now: number): void {
-    const known = this.entries.get(member.instance);
-    if (known && isOvertaken(known, member, sequence)) return;
-    const isNews = !known || !isSame(known.member, member);
-    this.entries.set(member.instance, {member, sequence, heardAt: now});
-    if (isNews) this.changes++;
+    const existing = this.entries.get(member.instance);
+    if (existing && isOutdated(existing, member, sequence)) return;
+    const hasChanged = !existing || !isSame(existing.member, member);
+    this.entries.set(member.instance, {member, sequence, lastHeardAt: now});
+    if (hasChanged) this.currentRevision++;
   }
 
   remove(instance: string): void {
-    if (this.entries.delete(instance)) this.changes++;
+    if (this.entries.delete(instance)) this.currentRevision++;
   }
 
-  /** Notes which member leads, as members or a promotion proved. */
+  /** Sets the primary of a service, after a member or a promotion proved it. */
   setPrimary(service: string, instance: string): void {
     for (const entry of this.entries.values()) {
       if (entry.member.service !== service) continue;
-      const leads = entry.member.instance === instance;
-      const role = leads
+      const isPrimary = entry.member.instance === instance;
+      const role = isPrimary
         ? ClaimedRole.CLAIMED_ROLE_PRIMARY
         : ClaimedRole.CLAIMED_ROLE_REPLICA;
       if (entry.member.role === role) continue;
       entry.member = {...entry.member, role};
-      this.changes++;
+      this.currentRevision++;
     }
   }
 }
 
-/** A process that starts again counts its announcements from the start. */
-function isOvertaken(known: Entry, {born}: Member, sequence: number): boolean {
-  if (born !== known.member.born) return born < known.member.born;
-  return sequence <= known.sequence;
+/** Sequence numbers start again with each incarnation. */
+function isOutdated(
+  existing: RosterEntry,
+  {born}: Member,
+  sequence: number,
+): boolean {
+  if (born !== existing.member.born) return born < existing.member.born;
+  return sequence <= existing.sequence;
 }
 
 function isSame(a: Member, b: Member): boolean {
--- a/src/services/roster/test/common/roster.test.ts
+++ b/src/services/roster/test/common/roster.test.ts
@@ -15,9 +15,9 @@
   ...over,
 });
 
-it('ignores an announcement that a later one overtook', () => {
-  // A member says that it leaves; an older heartbeat was held up by a cut and
-  // arrives after it. The member would get new work until it is gone.
+it('ignores an announcement that arrives out of order', () => {
+  // A member starts to drain, and an older heartbeat arrives late. The member
+  // would get new work until it stops.
   const roster = new Roster();
   roster.announce({member: member(), sequence: 1}, 0);
   roster.announce({member: member({draining: true}), sequence: 3}, 10);
@@ -25,7 +25,7 @@
   expect(roster.get('m1')?.draining).toBe(true);
 });
 
-it('counts only changes that proxies must hear of', () => {
+it('counts only changes that are relevant for proxies', () => {
   const roster = new Roster();
   roster.announce({member: member(), sequence: 1}, 0);
   const {revision} = roster;
@@ -34,10 +34,9 @@
   expect(roster.lastHeardAt('m1')).toBe(10);
 });
 
-it('takes a member that starts again under its name', () => {
-  // A member crashes and starts again under the same name; its count starts
-  // anew. Ignored until it passes the old one, it would be a primary to the
-  // proxies for as long as its first life had lasted.
+it('accepts a restarted member with the same name', () => {
+  // A member restarts and its sequence numbers start again. Ignored until they
+  // exceed the old ones, it would stay a primary to the proxies.
   const roster = new Roster();
   const primary = ClaimedRole.CLAIMED_ROLE_PRIMARY;
   const first = member({born: 100, role: primary});
@@ -46,9 +45,9 @@
   expect(roster.get('m1')).toMatchObject({born: 200, role: 2});
 });
 
-it('ignores what an earlier life says late', () => {
-  // A heartbeat of the first life was held up by a cut. Taken for news, it
-  // would make an empty replica the primary again.
+it('ignores a late announcement of an earlier incarnation', () => {
+  // A heartbeat of an earlier incarnation arrives late. It would make an empty
+  // replica the primary again.
   const roster = new Roster();
   roster.announce({member: member({born: 200}), sequence: 1}, 0);
   const late = member({born: 100, draining: true});
