--- a/src/services/fleet_control/common/stable_count.ts
+++ b/src/services/fleet_control/common/stable_count.ts
@@ -2,7 +2,8 @@
 const STABLE_AFTER_MS = 5_000;
 
 /**
- * The number of proxies that is recorded for later leaders.
+ * Detects when the number of proxies is stable, so that it can be recorded for
+ * later leaders.
  *
  * After a restart of the whole fleet, a leader cannot know how many proxies
  * will return. Without a recorded number, the first ones would open the
--- a/src/services/fleet_control/node/service_promotions.ts
+++ b/src/services/fleet_control/node/service_promotions.ts
@@ -154,7 +154,8 @@
 
   /**
    * Whether the log of a member may lack commits that it confirmed. A member
-   * that reconnected may have restarted meanwhile; its next announcement tells.
+   * that reconnected may have restarted, until its next announcement shows its
+   * incarnation.
    */
   private isRecovering(member: Member): boolean {
     const {machine, roster} = this.dependencies;
--- a/src/services/fleet_control/test/node/limit_coordinator.test.ts
+++ b/src/services/fleet_control/test/node/limit_coordinator.test.ts
@@ -23,7 +23,7 @@
 let version: number;
 let logged: ReturnType<typeof makeLog>;
 let proposals: number;
-let counting: LimitCoordinator;
+let coordinator: LimitCoordinator;
 
 const PROXIES = ['p1', 'p2', 'p3'].map(name => makeCounter(name));
 
@@ -34,11 +34,11 @@
   version = 1;
   logged = makeLog();
   proposals = 0;
-  counting = makeCounting();
+  coordinator = makeCoordinator();
 });
 
 /** A coordinator as it is at the start of a leadership. */
-function makeCounting(): LimitCoordinator {
+function makeCoordinator(): LimitCoordinator {
   return new LimitCoordinator(
     {
       limitPrecision: NO_LIMIT_WINDOW,
@@ -59,10 +59,10 @@
   );
 }
 
-async function tendFor(milliseconds: number): Promise<void> {
-  for (let passed = 0; passed < milliseconds; passed += 200) {
+async function reconcileFor(milliseconds: number): Promise<void> {
+  for (let elapsedMs = 0; elapsedMs < milliseconds; elapsedMs += 200) {
     clock.advance(200);
-    counting.reconcile(PROXIES);
+    coordinator.reconcile(PROXIES);
     await Promise.resolve();
     await Promise.resolve();
   }
@@ -72,32 +72,32 @@
   // Deployments without limits must see no change in the log and in the
   // messages to proxies.
   accounts = [makeLimited('oak')];
-  await tendFor(10_000);
+  await reconcileFor(10_000);
   expect(proposals).toBe(0);
   expect(logged.lines).toEqual([]);
   for (const {instance} of PROXIES) {
     expect(
-      counting.shares.takeChangedShares(instance, clock.now()),
+      coordinator.shares.takeChangedShares(instance, clock.now()),
     ).toBeUndefined();
   }
 });
 
 it('assigns counters with a reason and gives them shares', async () => {
   accounts = [makeLimited('fern', 100)];
-  await tendFor(2_000);
-  const named = machine.counters.map(({instance}) => instance);
-  expect(named).toHaveLength(2);
+  await reconcileFor(2_000);
+  const assigned = machine.counters.map(({instance}) => instance);
+  expect(assigned).toHaveLength(2);
   const lines = logged.lines.filter(line => line.startsWith('Names a counter'));
   expect(lines).toHaveLength(2);
   expect(lines.join()).toContain('others');
-  const {shares} = counting;
+  const {shares} = coordinator;
   let sum = 0;
-  for (const instance of named) {
+  for (const instance of assigned) {
     shares.onDidAttach(instance, [], clock.now(), clock.now());
     shares.report(instance, [], 0, clock.now());
     shares.renewLease(instance, clock.now());
   }
-  for (const instance of named) {
+  for (const instance of assigned) {
     const list = shares.takeChangedShares(instance, clock.now());
     sum += list?.shares[0]?.perSecond ?? 0;
   }
@@ -107,17 +107,17 @@
 
 it('does not reassign shares of an earlier leader', async () => {
   // A new leader does not know the shares of counters that have not reconnected
-  // yet; the log tells that there are counters.
+  // yet; the log shows that there are counters.
   accounts = [makeLimited('fern', 100)];
-  await tendFor(2_000);
+  await reconcileFor(2_000);
   const [first] = machine.counters;
-  counting = makeCounting();
-  const {shares} = counting;
+  coordinator = makeCoordinator();
+  const {shares} = coordinator;
   const {instance} = first!;
   shares.onDidAttach(instance, [], clock.now(), clock.now());
   shares.report(instance, [], 0, clock.now());
   shares.renewLease(instance, clock.now());
   const list = shares.takeChangedShares(instance, clock.now());
-  const given = list?.shares.map(({perSecond}) => perSecond) ?? [];
-  expect(Math.max(0, ...given)).toBe(0);
+  const grantedRates = list?.shares.map(({perSecond}) => perSecond) ?? [];
+  expect(Math.max(0, ...grantedRates)).toBe(0);
 });
--- a/src/services/fleet_link/node/follower_stream.ts
+++ b/src/services/fleet_link/node/follower_stream.ts
@@ -7,8 +7,8 @@
 import {FLEET_PROTOCOL} from './fleet_protocol';
 
 /**
- * A stream without a first message is closed: a partitioned instance never
- * learns who leads.
+ * A stream without a first message is closed: a partitioned control instance
+ * never learns who the leader is.
  */
 const FIRST_MESSAGE_TIMEOUT_MS = 1_500;
 
--- a/src/services/fleet_link/test/node/fleet_link.test.ts
+++ b/src/services/fleet_link/test/node/fleet_link.test.ts
@@ -150,10 +150,10 @@
 }
 
 function makeMember(instance: string): Member {
-  const place = {service: 'books', address: `${instance}:1`, site: 'a'};
+  const location = {service: 'books', address: `${instance}:1`, site: 'a'};
   return {
     instance,
-    ...place,
+    ...location,
     slots: 2,
     draining: false,
     born: 0,
@@ -404,8 +404,8 @@
 });
 
 it('extends no shares without the confirmation of a majority', async () => {
-  // A leader was frozen and replaced. If a counter kept its shares on the word
-  // of the old leader, the new one could assign them twice.
+  // A leader was frozen and replaced. If it could extend the shares of a
+  // counter, the new leader could assign them twice.
   first.isConfirmed = false;
   first.leads = true;
   follow();
--- a/src/services/pooler/node/pooled_work.ts
+++ b/src/services/pooler/node/pooled_work.ts
@@ -77,9 +77,9 @@
   /** The commit position of this step; undefined if it committed nothing. */
   private commitOf({session}: WorkRequest): Position | undefined {
     const lastCommit = this.sessionState.lastCommit?.position;
-    const before = session?.ownCommit;
-    if (!lastCommit || !before) return lastCommit;
-    return comparePositions(lastCommit, before) > 0 ? lastCommit : undefined;
+    const previous = session?.ownCommit;
+    if (!lastCommit || !previous) return lastCommit;
+    return comparePositions(lastCommit, previous) > 0 ? lastCommit : undefined;
   }
 
   private *runDecoded(request: WorkRequest): Task<StatementOutcome> {
--- a/src/services/pooler/test/common/pooler_plan.test.ts
+++ b/src/services/pooler/test/common/pooler_plan.test.ts
@@ -133,9 +133,9 @@
   });
 
   it('keeps the role of a pooler that is disconnected briefly', () => {
-    // The stream to control breaks and the pooler goes on serving. Moved at
-    // once, its connections would be opened elsewhere while it still holds
-    // them, and exceed the limits of the members.
+    // The stream to control breaks while the pooler still serves. Moved at
+    // once, its connections would be opened elsewhere while it holds them, and
+    // exceed the limits of the members.
     const planner = new PoolerPlanner(0);
     const assigned = planner.plan(services, proxies, [], 1_000)!;
     const gone = assigned[0]!.instance;
