--- a/src/services/promotion/common/assess_primary.ts
+++ b/src/services/promotion/common/assess_primary.ts
@@ -1,53 +1,57 @@
-/** What is known of a primary. */
+/** Observations of a primary by control and the proxies. */
 export interface PrimaryObservations {
-  /** How long control has had no answer of it, in milliseconds. */
+  /** Time since its last reply to control, in milliseconds. */
   readonly silentMs: number;
-  /** Whether connections to it are refused: its process is gone. */
-  readonly refused: boolean;
+  /** Whether it refuses connections, as when its process has exited. */
+  readonly isRefusing: boolean;
   readonly draining: boolean;
-  /** Its own word, asked for lately, that it does not lead. */
-  readonly denies: boolean;
-  /** Proxies that are attached to control. */
+  /** Whether it just reported itself as a replica. */
+  readonly isReplica: boolean;
+  /** Number of proxies that are attached to control. */
   readonly proxies: number;
-  /** Those that say they cannot use it. */
+  /** Number of proxies that report that they cannot use it. */
   readonly complaints: number;
-  /** For how long at least half of the proxies complained, in ms. */
+  /** For how long at least half of the proxies have reported it, in ms. */
   readonly complainedMs: number;
-  /** Proxies were told to rely on nobody, and so complain of nobody. */
+  /** Whether its leases were revoked; proxies then report no failures of it. */
   readonly isRevoked: boolean;
 }
 
-/** Whether a primary is to be replaced, and why. */
+/** Whether a primary has to be replaced, and why. */
 export type Assessment =
   {readonly kind: 'keep'} | {readonly kind: 'replace'; readonly reason: string};
 
-/** A process that refuses connections is gone; a restart takes longer. */
-const REFUSED_MS = 150;
-/** Above a ping interval and a way between regions with a packet sent again. */
-const SILENT_MS = 500;
-/** A cut between proxies and primary must last, to be worth a change. */
-const COMPLAINED_MS = 1_000;
+/** Shorter than the restart of a process. */
+const REFUSING_TIMEOUT_MS = 150;
+/** Longer than a ping interval and a retransmission between regions. */
+const SILENCE_TIMEOUT_MS = 500;
+/** A shorter network partition costs less than a change of primary. */
+const FAILURE_REPORT_TIMEOUT_MS = 1_000;
 
 /**
- * Judges a primary by control's own eyes and by those of the proxies. Either
- * alone may be cut off from it while it serves; a change would cost a gap.
+ * Decides from the observations of control and of the proxies whether to
+ * replace a primary. Either alone may be partitioned from a primary that still
+ * serves, and a change would interrupt writes.
  */
-export function assessPrimary(view: PrimaryObservations): Assessment {
-  const {proxies, complaints, refused, silentMs} = view;
-  // Guard: a primary that starts again does so as a replica. It answers and is
-  // not leaving, but nobody would ever serve writes again.
-  if (view.denies) return {kind: 'replace', reason: 'it does not lead'};
-  if (view.draining) return {kind: 'replace', reason: 'it is leaving'};
-  // Guard: where no heir was found at once, a silent primary whose lead was
-  // revoked would be kept for want of complaints, and nobody would lead until
-  // it came back.
-  const half = view.isRevoked || complaints * 2 >= proxies;
-  const isGone = refused && silentMs >= REFUSED_MS;
-  if ((isGone || silentMs >= SILENT_MS) && half) {
-    const reason = refused ? 'it refuses connections' : 'it is silent';
+export function assessPrimary(observed: PrimaryObservations): Assessment {
+  const {proxies, complaints, isRefusing, silentMs} = observed;
+  // Guard: a restarted primary comes back as a replica that replies and is not
+  // draining. No other check would replace it, and writes would stay refused.
+  if (observed.isReplica) return {kind: 'replace', reason: 'it is a replica'};
+  if (observed.draining) return {kind: 'replace', reason: 'it is drained'};
+  // Guard: if the first search found no successor, a silent primary whose
+  // leases were revoked would be kept for lack of failure reports, and the
+  // service would have no primary until it replied again.
+  const isReportedByHalf = observed.isRevoked || complaints * 2 >= proxies;
+  const hasExited = isRefusing && silentMs >= REFUSING_TIMEOUT_MS;
+  if ((hasExited || silentMs >= SILENCE_TIMEOUT_MS) && isReportedByHalf) {
+    const reason = isRefusing ? 'it refuses connections' : 'it is silent';
     return {kind: 'replace', reason};
   }
-  const isCut = complaints > 0 && half && view.complainedMs >= COMPLAINED_MS;
-  if (isCut) return {kind: 'replace', reason: 'proxies cannot use it'};
+  const isUnreachable =
+    complaints > 0 &&
+    isReportedByHalf &&
+    observed.complainedMs >= FAILURE_REPORT_TIMEOUT_MS;
+  if (isUnreachable) return {kind: 'replace', reason: 'proxies cannot use it'};
   return {kind: 'keep'};
 }
--- a/src/services/promotion/common/choose_successor.ts
+++ b/src/services/promotion/common/choose_successor.ts
@@ -1,69 +1,71 @@
 import {comparePositions, type Position} from '../../position/common/position';
 
-/** What one member whose log counts said in this attempt. */
+/** State of one member's log, as it reported it in this attempt. */
 export interface MemberLogState {
   readonly instance: string;
   readonly draining: boolean;
-  /** What its log has received; undefined where it did not answer. */
+  /** End of its log; undefined if it did not reply. */
   readonly received: Position | undefined;
   /**
-   * Its log may lack commits that it confirmed in an earlier life. It can lead
-   * where it holds enough, but says nothing of what was acknowledged.
+   * Its log may lack commits that it confirmed before it was restarted. It can
+   * be promoted if it holds enough, but does not prove what was acknowledged.
    */
   readonly recovering: boolean;
 }
 
-/** What a choice is made from. */
+/** Members among which the next primary is chosen. */
 export interface SuccessorCandidates {
-  /** The old primary; its answer counts only once it has stepped down. */
+  /** The old primary; its position only counts once it has stepped down. */
   readonly oldPrimary: MemberLogState | undefined;
-  /** All other members, stopped before they answered. */
+  /** All other members, which stopped receiving before they replied. */
   readonly replicas: readonly MemberLogState[];
 }
 
-/** Which member is to lead, or why none may yet. */
+/** The member to promote, or why none can be promoted yet. */
 export type SuccessorChoice =
   | {readonly kind: 'promote'; readonly instance: string}
   | {readonly kind: 'wait'; readonly reason: string};
 
 /**
- * Chooses the member that leads next, so that no acknowledged commit is lost.
+ * Chooses the next primary so that no acknowledged commit is lost.
  *
- * A commit is acknowledged once any one replica has received it. With the old
- * primary stepped down its log has all of them, and a replica that reached its
- * end has too. Without its word every replica must answer after it stopped
- * receiving: the one with the most then has every acknowledged commit. Where
- * one is missing, it may be the only one with some commit, so the choice waits.
- * One that started again without its log is as good as missing: what it had
- * confirmed before is gone with its earlier life.
+ * A commit is acknowledged once any one replica has received it. The log of an
+ * old primary that stepped down has all of them, and so has a replica that
+ * reached its end. Otherwise every replica must reply after it stopped
+ * receiving, and the longest log wins: a replica that is missing, or was
+ * restarted without its log, may have been the only one with some commit.
  */
 export function chooseSuccessor({
   oldPrimary,
   replicas,
 }: SuccessorCandidates): SuccessorChoice {
-  const answered = replicas.filter(({received}) => received !== undefined);
-  const end = oldPrimary?.recovering ? undefined : oldPrimary?.received;
-  if (end) {
-    const full = answered.filter(({received}) => {
-      return comparePositions(received!, end) >= 0;
+  const replied = replicas.filter(({received}) => received !== undefined);
+  const primaryLogEnd = oldPrimary?.recovering
+    ? undefined
+    : oldPrimary?.received;
+  if (primaryLogEnd) {
+    const caughtUp = replied.filter(({received}) => {
+      return comparePositions(received!, primaryLogEnd) >= 0;
     });
-    const heir = best(full);
-    if (heir) return {kind: 'promote', instance: heir.instance};
+    const best = pickBest(caughtUp);
+    if (best) return {kind: 'promote', instance: best.instance};
   }
-  const missing = replicas.filter(({received, recovering}) => {
+  const unproven = replicas.filter(({received, recovering}) => {
     return received === undefined || recovering;
   });
-  if (missing.length > 0) {
-    const names = missing.map(({instance}) => instance).join(' ');
-    return {kind: 'wait', reason: `no proof by the logs of ${names}`};
+  if (unproven.length > 0) {
+    const names = unproven.map(({instance}) => instance).join(' ');
+    return {kind: 'wait', reason: `no complete log from ${names}`};
   }
-  const heir = best(answered);
-  if (!heir) return {kind: 'wait', reason: 'no replica is known'};
-  return {kind: 'promote', instance: heir.instance};
+  const successor = pickBest(replied);
+  if (!successor) return {kind: 'wait', reason: 'the service has no replica'};
+  return {kind: 'promote', instance: successor.instance};
 }
 
-/** The one with the most; of equals one that stays. */
-function best(members: readonly MemberLogState[]): MemberLogState | undefined {
+/** The member with the longest log; among equals one that is not draining. */
+function pickBest(
+  members: readonly MemberLogState[],
+): MemberLogState | undefined {
   return [...members].sort((a, b) => {
     const byLog = comparePositions(b.received!, a.received!);
     return byLog || Number(a.draining) - Number(b.draining);
--- a/src/services/promotion/node/member_monitor.ts
+++ b/src/services/promotion/node/member_monitor.ts
@@ -18,44 +18,43 @@
   type TargetLink,
 } from '../../target_link/common/target_link';
 
-/** Silence is noticed within this and an answer's way, in milliseconds. */
-const PING_MS = 250;
+const PING_INTERVAL_MS = 250;
 /**
- * Questions a second to all members together. Each costs some 0.1 ms of a
- * control instance's processor with its answer: 4 a second to 1,000 members take
- * all of the 0.4 of a core that it has. With more members each one is asked
- * less often, and the proxies' reports come before the silence is noticed.
+ * Bounds the processor time that pings take from a control instance. With many
+ * members each is pinged less often, and failure reports of proxies come first.
  */
-const MOST_PINGS_A_SECOND = 600;
+const MAX_PINGS_PER_SECOND = 600;
 
-/** How often one of so many members is asked, in milliseconds. */
-export function pingIntervalMs(members: number): number {
-  return Math.max(PING_MS, (members * 1_000) / MOST_PINGS_A_SECOND);
+/** Interval between pings of one member, by the number of all members. */
+export function pingIntervalMs(memberCount: number): number {
+  return Math.max(
+    PING_INTERVAL_MS,
+    (memberCount * 1_000) / MAX_PINGS_PER_SECOND,
+  );
 }
-const CONNECT_MS = 500;
-/** An answer that takes longer is given up, and its connection with it. */
-const ANSWER_MS = 600;
-/** A member without room for an order is asked again after this, in ms. */
-const BUSY_PAUSE_MS = 25;
-/** An order is repeated for so long, in milliseconds. */
-const ORDER_MS = 700;
+const CONNECT_TIMEOUT_MS = 500;
+/** The connection is closed if a reply takes longer. */
+const REPLY_TIMEOUT_MS = 600;
+/** Delay before a command is retried at a member without a free slot. */
+const BUSY_RETRY_DELAY_MS = 25;
+const COMMAND_RETRY_TIMEOUT_MS = 700;
 
 /**
- * Control's own connection to one member: tells whether it answers and carries
- * orders to it. The question is one that takes no slot of the member.
+ * Control's own connection to one member, which checks that the member replies
+ * and sends commands to it. Pings take no slot of the member.
  */
 export class MemberMonitor {
   private link: TargetLink | undefined;
-  private connecting = false;
-  private pinging = false;
-  private lastAnswerAt: number;
-  private pingedAt = -Infinity;
-  /** Since when a question or a connection is outstanding. */
+  private isConnecting = false;
+  private isPinging = false;
+  private lastReplyAt: number;
+  private lastPingAt = -Infinity;
+  /** When the oldest pending ping or connection attempt began. */
   private unansweredSince: number | undefined;
   private isRefused = false;
   private highestTerm = 0;
-  private openings = 0;
-  private openedAt = -Infinity;
+  private connectCount = 0;
+  private connectedAt = -Infinity;
 
   constructor(
     readonly member: Member,
@@ -63,113 +62,117 @@
     private readonly reader: StatusReader,
     private readonly clock: Clock,
     private readonly signal: AbortSignal,
-    private readonly intervalMs = () => PING_MS,
+    private readonly intervalMs = () => PING_INTERVAL_MS,
   ) {
-    this.lastAnswerAt = clock.now();
-    this.unansweredSince = this.lastAnswerAt;
-    every(signal, PING_MS, () => this.ping());
+    this.lastReplyAt = clock.now();
+    this.unansweredSince = this.lastReplyAt;
+    every(signal, PING_INTERVAL_MS, () => this.ping());
     signal.addEventListener('abort', () => this.link?.close(), {once: true});
     this.connect();
   }
 
   /**
-   * How long the member has not answered, in milliseconds. Time in which it was
-   * asked nothing counts as one interval at most: a member that is asked every
-   * two seconds is not silent in between.
+   * Time since the last reply, in milliseconds. Time without a pending ping
+   * counts as at most one interval: a member that is pinged less often is not
+   * silent in between.
    */
   get silentMs(): number {
     const now = this.clock.now();
-    const asked = now - (this.unansweredSince ?? now);
-    return Math.min(now - this.lastAnswerAt, asked + PING_MS);
+    const unansweredMs = now - (this.unansweredSince ?? now);
+    return Math.min(now - this.lastReplyAt, unansweredMs + PING_INTERVAL_MS);
   }
 
-  /** Whether its last refusal is newer than its last answer. */
+  /** Whether it has refused a connection since its last reply. */
   get isRefusing(): boolean {
     return this.isRefused;
   }
 
-  /** When it was connected again after a loss; -Infinity for the first time. */
+  /** When the last reconnect succeeded; -Infinity before the first one. */
   get reconnectedAt(): number {
-    return this.openings > 1 ? this.openedAt : -Infinity;
+    return this.connectCount > 1 ? this.connectedAt : -Infinity;
   }
 
-  /** The highest term that its log has shown. */
+  /** The highest term seen in its log. */
   get term(): number {
     return this.highestTerm;
   }
 
   /**
-   * Gives an order; its status then, or undefined where none came in time.
+   * Sends a command. Returns the member's status after it, or undefined if none
+   * came in time.
    *
-   * Orders take a slot, and a service that lost its primary is at its busiest:
-   * a member without room is asked again, else each promotion would wait for
-   * the next look at the whole service.
+   * Commands take a slot, and members are busiest when their service has lost
+   * its primary. A busy member is retried, so that a promotion need not wait
+   * for the next check of the whole service.
    */
   async sendCommand(
-    statement: TargetStatement,
+    command: TargetStatement,
   ): Promise<MemberStatus | undefined> {
-    const until = this.clock.now() + ORDER_MS;
+    const retryUntil = this.clock.now() + COMMAND_RETRY_TIMEOUT_MS;
     for (;;) {
-      const reply = await this.ask(statement);
+      const reply = await this.sendStatement(command);
       if (reply?.kind !== 'answer') return undefined;
       const status = this.reader.read(reply.result);
       if (status) {
         this.highestTerm = Math.max(this.highestTerm, status.term);
         return status;
       }
-      if (this.clock.now() >= until) return undefined;
-      await setTimeout(BUSY_PAUSE_MS);
+      if (this.clock.now() >= retryUntil) return undefined;
+      await setTimeout(BUSY_RETRY_DELAY_MS);
     }
   }
 
   private ping(): void {
     if (!this.link) return this.connect();
     const now = this.clock.now();
-    // Ticks come a few milliseconds early or late.
-    const isDue = now - this.pingedAt >= this.intervalMs() - PING_MS / 2;
-    if (this.pinging || !isDue) return;
-    this.pinging = true;
-    this.pingedAt = now;
+    // Timers fire a few milliseconds early or late.
+    const isDue =
+      now - this.lastPingAt >= this.intervalMs() - PING_INTERVAL_MS / 2;
+    if (this.isPinging || !isDue) return;
+    this.isPinging = true;
+    this.lastPingAt = now;
     this.unansweredSince ??= now;
-    void this.ask({kind: 'reset'}).then(() => (this.pinging = false));
+    void this.sendStatement({kind: 'reset'}).then(
+      () => (this.isPinging = false),
+    );
   }
 
-  private async ask(
+  private async sendStatement(
     statement: TargetStatement,
   ): Promise<TargetReply | undefined> {
     const {link} = this;
     if (!link) return undefined;
-    const cancel = after(this.signal, ANSWER_MS, () => link.close());
+    const cancel = after(this.signal, REPLY_TIMEOUT_MS, () => link.close());
     const [promise] = link.send([{requestId: undefined, statement}]);
     const reply = await promise!;
     cancel();
-    if (reply.kind === 'answer') this.onAnswer(reply.position);
+    if (reply.kind === 'answer') this.onReply(reply.position);
     return reply;
   }
 
-  private onAnswer(position: Position | undefined): void {
-    this.lastAnswerAt = this.clock.now();
+  private onReply(position: Position | undefined): void {
+    this.lastReplyAt = this.clock.now();
     this.unansweredSince = undefined;
     this.isRefused = false;
     if (position) this.highestTerm = Math.max(this.highestTerm, position.term);
   }
 
   private connect(): void {
-    if (this.connecting || this.signal.aborted) return;
-    this.connecting = true;
+    if (this.isConnecting || this.signal.aborted) return;
+    this.isConnecting = true;
     const target = {...this.member, user: SHARED_USER};
     void this.connector
-      .connect(target, CONNECT_MS, this.signal)
+      .connect(target, CONNECT_TIMEOUT_MS, this.signal)
       .then(outcome => {
-        this.connecting = false;
+        this.isConnecting = false;
         if (outcome.isErr) {
-          return this.onFailedConnect(outcome.error);
+          return this.onConnectFailed(outcome.error);
         }
         const link = outcome.value;
         this.link = link;
-        this.openings++;
-        this.openedAt = this.clock.now();
-        this.onAnswer(link.positionAtOpen);
+        this.connectCount++;
+        this.connectedAt = this.clock.now();
+        this.onReply(link.positionAtOpen);
         link.onDidClose(() => {
           if (this.link === link) this.link = undefined;
           this.unansweredSince ??= this.clock.now();
@@ -178,9 +181,9 @@
       });
   }
 
-  private onFailedConnect(failure: ConnectFailure): void {
-    // A member that is full answers, and lives.
-    if (failure === 'too many connections') return this.onAnswer(undefined);
+  private onConnectFailed(failure: ConnectFailure): void {
+    // A member without a free connection is alive.
+    if (failure === 'too many connections') return this.onReply(undefined);
     this.isRefused = failure !== 'silent';
   }
 }
--- a/src/services/promotion/node/promotion_authority.ts
+++ b/src/services/promotion/node/promotion_authority.ts
@@ -1,33 +1,33 @@
-/** An order to let a member lead. */
+/** Request to the platform to promote a member. */
 export interface PromotionRequest {
   readonly service: string;
   readonly instance: string;
-  /** The control instance that gives the order. */
+  /** The control instance that sends the request. */
   readonly holder: string;
-  /** Rises with each decision; an order with a lower one is refused. */
+  /** Fencing token, which grows with each decision; lower ones are refused. */
   readonly token: number;
 }
 
-/** What became of an order. */
+/** Outcome of a promotion request. */
 export type PromotionOutcome =
   | 'accepted'
-  /** Refused: a newer order was seen, or the member is not running. */
+  /** A newer token was seen, or the member is not running. */
   | 'refused'
-  /** Not sent, asked too often, or not able to now; nothing was done. */
+  /** Not sent, rate limited or unavailable; nothing was done. */
   | 'not now'
-  /** No answer: it may still be carried out, seconds later. */
+  /** No reply; the request may still take effect seconds later. */
   | 'unknown';
 
-/** Whoever carries promotions out. */
+/** The service of the platform that executes promotions. */
 export interface PromotionAuthority {
   /**
-   * Sends an order.
+   * Sends a promotion request.
    *
-   * @param isFresh Asked right before the order goes out; where it says no,
-   *     the order is not sent.
+   * @param isFresh Called right before the request is sent; if it returns
+   *     false, the request is not sent.
    */
   promote(
-    order: PromotionRequest,
+    request: PromotionRequest,
     isFresh: () => boolean,
     signal: AbortSignal,
   ): Promise<PromotionOutcome>;
--- a/src/services/promotion/node/promotion_dependencies.ts
+++ b/src/services/promotion/node/promotion_dependencies.ts
@@ -5,52 +5,52 @@
 import type {MemberMonitor} from './member_monitor';
 import type {PromotionAuthority} from './promotion_authority';
 
-/** What proxies say of a service's primary. */
+/** Failure reports of the proxies about the primary of a service. */
 export interface FailureReports {
   readonly proxies: number;
   readonly complaints: number;
-  /** For how long at least half complained, in milliseconds. */
+  /** For how long at least half of the proxies have reported it, in ms. */
   readonly complainedMs: number;
 }
 
-/** How orders of promotion are given. */
+/** The promotion authority and what it guarantees. */
 export interface PromotionAccess {
   readonly authority: PromotionAuthority;
-  /** Whether orders with a lower token than one seen are refused. */
+  /** Whether it refuses tokens that are lower than the highest one seen. */
   readonly isFenced: boolean;
-  /** Counts the time in which the machine was suspended. */
+  /** A clock that also advances while the machine is suspended. */
   readonly clock: Clock;
 }
 
-/** What the promotions of one service are built on, for one leadership. */
+/** Dependencies of the promotions of one service during one leadership. */
 export interface PromotionDependencies {
   readonly service: string;
   readonly holder: string;
   readonly clock: Clock;
   readonly log: Log;
   readonly access: PromotionAccess;
-  /** Its members; each is marked whose log may lack what it once confirmed. */
+  /** Its members, marked as recovering if they may lack confirmed commits. */
   members(): readonly Member[];
-  /** The member that says it leads, by its announcement. */
+  /** The member that announces itself as the primary. */
   claimedPrimary(): Member | undefined;
-  /** Who leads by the control log. */
+  /** The primary assignment in the control log. */
   assignment(): PrimaryAssignment | undefined;
   monitorOf(member: Member): MemberMonitor;
   failureReportsOf(instance: string): FailureReports;
-  /** Tells proxies to rely on nobody. */
+  /** Makes the proxies return their leases on the primary. */
   revokeLeases(): void;
-  /** Whether proxies gave up the epoch in force. */
+  /** Whether leases on the current epoch were revoked or returned. */
   isRevoked(): boolean;
-  /** Who may still rely on the epoch in force. */
+  /** Proxies whose lease on the current epoch may not have ended. */
   leaseHolders(): readonly string[];
-  /** Proves by a majority that this instance still leads control. */
+  /** Whether a majority confirms that this instance still leads control. */
   confirmLeadership(): Promise<boolean>;
-  /** Puts a decision into the control log; its index is epoch and token. */
+  /** Writes a decision to the control log; its index is epoch and token. */
   assignPrimary(
     instance: string,
-    ordered: boolean,
+    isPending: boolean,
   ): Promise<Result<number, string>>;
   completePromotion(epoch: number): Promise<boolean>;
-  /** The member of the lead in force was seen to lead. */
+  /** The assigned member was seen to be the primary. */
   onDidPromote(instance: string): void;
 }
--- a/src/services/promotion/node/promotion_driver.ts
+++ b/src/services/promotion/node/promotion_driver.ts
@@ -10,251 +10,272 @@
 import {REQUEST_MAX_AGE_MS, PromotionRequests} from './promotion_requests';
 import type {PromotionDependencies} from './promotion_dependencies';
 
-const LOOK_MS = 100;
-/** The same reason to wait is logged at most this often, in milliseconds. */
-const SAY_AGAIN_MS = 2_000;
-/** A new leader first lets the proxies come and say what they see, in ms. */
-const WARM_UP_MS = 700;
-/** Leases are looked at this often while they are waited for, in ms. */
-const LEASE_LOOK_MS = 10;
-/** A member that answered within this is there to take over, in ms. */
-const PRESENT_MS = 500;
+const CHECK_INTERVAL_MS = 100;
+/** Minimum time between equal warnings. */
+const REPEAT_MS = 2_000;
+/** Time in which proxies attach to a new leader and send failure reports. */
+const REPORT_WAIT_MS = 700;
+const LEASE_CHECK_INTERVAL_MS = 10;
+/** A member that has been silent for longer is not promoted. */
+const MAX_SILENCE_MS = 500;
 
-/** The task that replaces the primary of one service when it has to be. */
+/** Task that monitors the primary of one service and replaces it if needed. */
 export class PromotionDriver {
-  private said = {text: '', at: -Infinity};
+  private warned = {text: '', at: -Infinity};
   private readonly startedAt: number;
-  private readonly ordering: PromotionRequests;
-  /** Replicas may be stopped by this leader or by one before it. */
-  private mayBeStopped = true;
-  /** The newest lead that was seen to lead after its order. */
-  private carriedOut = 0;
+  private readonly requests: PromotionRequests;
+  /** Replicas may have been paused by this leader or an earlier one. */
+  private mayBePaused = true;
+  /** Epoch of the last promotion that is known to have taken effect. */
+  private lastEffectiveEpoch = 0;
 
-  constructor(private readonly around: PromotionDependencies) {
-    this.startedAt = around.clock.now();
-    this.ordering = new PromotionRequests(around);
+  constructor(private readonly dependencies: PromotionDependencies) {
+    this.startedAt = dependencies.clock.now();
+    this.requests = new PromotionRequests(dependencies);
   }
 
   start(signal: AbortSignal): Promise<void> {
-    const {service} = this.around;
+    const {service} = this.dependencies;
     return startTask(`promotion ${service}`, () => this.run(signal));
   }
 
   private *run(signal: AbortSignal): Task<void> {
     while (!signal.aborted) {
-      yield* pause(LOOK_MS);
-      yield* this.look(signal);
+      yield* pause(CHECK_INTERVAL_MS);
+      yield* this.check(signal);
     }
   }
 
-  private *look(signal: AbortSignal): Task<void> {
-    const lead = this.around.assignment();
-    if (!lead) return yield* this.nameFirst();
-    if (lead.pending && this.carriedOut !== lead.epoch) {
-      return yield* this.finish(lead, signal);
+  private *check(signal: AbortSignal): Task<void> {
+    const assignment = this.dependencies.assignment();
+    if (!assignment) return yield* this.assignFirstPrimary();
+    if (assignment.pending && this.lastEffectiveEpoch !== assignment.epoch) {
+      return yield* this.resumePromotion(assignment, signal);
     }
-    if (lead.pending) yield* this.settle(lead);
-    const reason = yield* this.reasonToReplace(lead);
-    if (reason) return yield* this.replace(lead, reason, signal);
-    if (this.around.isRevoked()) yield* this.keep(lead);
-    else if (this.mayBeStopped) yield* this.resume(lead);
+    if (assignment.pending) yield* this.completePromotion(assignment);
+    const reason = yield* this.findReplaceReason(assignment);
+    if (reason) return yield* this.replace(assignment, reason, signal);
+    if (this.dependencies.isRevoked()) yield* this.keepPrimary(assignment);
+    else if (this.mayBePaused) yield* this.resumeReplicas(assignment);
   }
 
-  /** Before the first promotion the member leads that says so. */
-  private *nameFirst(): Task<void> {
-    const claimant = this.around.claimedPrimary();
+  /** Before the first promotion, assigns the member that claims the role. */
+  private *assignFirstPrimary(): Task<void> {
+    const claimant = this.dependencies.claimedPrimary();
     if (!claimant) return;
     const {instance} = claimant;
-    yield* settled(this.around.assignPrimary(instance, false));
+    yield* settled(this.dependencies.assignPrimary(instance, false));
   }
 
-  private get isWarm(): boolean {
-    return this.around.clock.now() - this.startedAt >= WARM_UP_MS;
+  private get hasCollectedReports(): boolean {
+    return this.dependencies.clock.now() - this.startedAt >= REPORT_WAIT_MS;
   }
 
   /**
-   * Takes up an order that may not have been carried out, perhaps by an
-   * earlier leader. The same member is ordered again: nothing was acknowledged
-   * since it was chosen but by itself.
+   * Resumes a promotion that may not have taken effect, perhaps of an earlier
+   * leader. The same member is promoted: since it was chosen, no other member
+   * can have acknowledged anything.
    */
-  private *finish(lead: PrimaryAssignment, signal: AbortSignal): Task<void> {
-    const {instance, epoch} = lead;
-    if (yield* this.ordering.leads(instance)) {
-      this.carriedOut = epoch;
-      return this.around.onDidPromote(instance);
+  private *resumePromotion(
+    assignment: PrimaryAssignment,
+    signal: AbortSignal,
+  ): Task<void> {
+    const {instance, epoch} = assignment;
+    if (yield* this.requests.isPrimary(instance)) {
+      this.lastEffectiveEpoch = epoch;
+      return this.dependencies.onDidPromote(instance);
     }
-    if (!this.isWarm) return;
-    const heir = this.memberOf(instance);
-    const isPresent =
-      heir !== undefined &&
-      !heir.recovering &&
-      this.around.monitorOf(heir).silentMs < PRESENT_MS;
-    if (isPresent) yield* this.promote(instance, signal);
-    else yield* this.replace(lead, 'the heir was lost', signal);
+    if (!this.hasCollectedReports) return;
+    const successor = this.memberOf(instance);
+    const isAvailable =
+      successor !== undefined &&
+      !successor.recovering &&
+      this.dependencies.monitorOf(successor).silentMs < MAX_SILENCE_MS;
+    if (isAvailable) yield* this.promote(instance, signal);
+    else yield* this.replace(assignment, 'the successor failed', signal);
   }
 
-  private *settle({epoch}: PrimaryAssignment): Task<void> {
-    const {access} = this.around;
-    if (!access.isFenced && !this.ordering.isSettled) return;
-    yield* settled(this.around.completePromotion(epoch));
+  private *completePromotion({epoch}: PrimaryAssignment): Task<void> {
+    const {access} = this.dependencies;
+    if (!access.isFenced && !this.requests.hasExpired) return;
+    yield* settled(this.dependencies.completePromotion(epoch));
   }
 
-  private *reasonToReplace({
+  private *findReplaceReason({
     instance,
   }: PrimaryAssignment): Task<string | undefined> {
     const primary = this.memberOf(instance);
-    if (!primary) return this.isWarm ? 'it has left' : undefined;
-    const watch = this.around.monitorOf(primary);
-    const verdict = assessPrimary({
-      silentMs: watch.silentMs,
-      refused: watch.isRefusing,
+    if (!primary) return this.hasCollectedReports ? 'it has left' : undefined;
+    const monitor = this.dependencies.monitorOf(primary);
+    const assessment = assessPrimary({
+      silentMs: monitor.silentMs,
+      isRefusing: monitor.isRefusing,
       draining: primary.draining,
-      denies: yield* this.denies(primary),
-      ...this.around.failureReportsOf(instance),
-      isRevoked: this.around.isRevoked(),
+      isReplica: yield* this.isReplica(primary),
+      ...this.dependencies.failureReportsOf(instance),
+      isRevoked: this.dependencies.isRevoked(),
     });
-    if (verdict.kind === 'keep') return undefined;
-    return this.isWarm || primary.draining ? verdict.reason : undefined;
+    if (assessment.kind === 'keep') return undefined;
+    return this.hasCollectedReports || primary.draining
+      ? assessment.reason
+      : undefined;
   }
 
-  /** Its announcement may be older than its lead; its own answer decides. */
-  private *denies(primary: Member): Task<boolean> {
-    const {around} = this;
+  /** Requests its status, as its announcement may predate its promotion. */
+  private *isReplica(primary: Member): Task<boolean> {
+    const {dependencies} = this;
     if (primary.role === ClaimedRole.CLAIMED_ROLE_PRIMARY) return false;
-    const [status] = yield* sendToAll(around, [primary], {kind: 'status'});
-    if (status?.isPrimary) around.onDidPromote(primary.instance);
+    const [status] = yield* sendToAll(dependencies, [primary], {
+      kind: 'status',
+    });
+    if (status?.isPrimary) dependencies.onDidPromote(primary.instance);
     return status !== undefined && !status.isPrimary;
   }
 
-  /** Proxies may rely again on a primary that was to be replaced and is not. */
-  private *keep({instance}: PrimaryAssignment): Task<void> {
-    if (!(yield* this.ordering.leads(instance))) return;
-    const {service, log} = this.around;
-    const named = yield* settled(this.around.assignPrimary(instance, false));
-    const done = 'value' in named && named.value.isOk;
-    log.info('Keeps a primary.', {service, instance, done});
-    if (done) this.around.onDidPromote(instance);
-    this.mayBeStopped = true;
+  /** Grants leases again on a primary that was to be replaced but was not. */
+  private *keepPrimary({instance}: PrimaryAssignment): Task<void> {
+    if (!(yield* this.requests.isPrimary(instance))) return;
+    const {service, log} = this.dependencies;
+    const assigned = yield* settled(
+      this.dependencies.assignPrimary(instance, false),
+    );
+    const done = 'value' in assigned && assigned.value.isOk;
+    log.info('Kept the primary.', {service, instance, done});
+    if (done) this.dependencies.onDidPromote(instance);
+    this.mayBePaused = true;
   }
 
-  /** Replicas that were stopped for a change that did not come receive again. */
-  private *resume({instance}: PrimaryAssignment): Task<void> {
-    if (!(yield* this.provesLead())) return;
-    const others = this.othersThan(instance);
-    const statuses = yield* sendToAll(this.around, others, {kind: 'resume'});
-    this.mayBeStopped = statuses.some(status => status === undefined);
+  /** Resumes replicas that were paused for a change that did not happen. */
+  private *resumeReplicas({instance}: PrimaryAssignment): Task<void> {
+    if (!(yield* this.confirmsLeadership())) return;
+    const others = this.membersExcept(instance);
+    const statuses = yield* sendToAll(this.dependencies, others, {
+      kind: 'resume',
+    });
+    this.mayBePaused = statuses.some(status => status === undefined);
   }
 
   private *replace(
-    lead: PrimaryAssignment,
+    assignment: PrimaryAssignment,
     reason: string,
     signal: AbortSignal,
   ): Task<void> {
-    const {around} = this;
-    const {service, log} = around;
-    const fields = {service, primary: lead.instance, reason};
-    if (!this.hasSuccessor(lead)) {
-      const why = 'no other member answers';
-      return this.say('Cannot promote safely.', {...fields, why});
+    const {dependencies} = this;
+    const {service, log} = dependencies;
+    const fields = {service, primary: assignment.instance, reason};
+    if (!this.hasReachableReplica(assignment)) {
+      const why = 'no other member replies';
+      return this.warnOnce('Cannot promote safely.', {...fields, why});
     }
-    if (!(yield* this.provesLead())) {
-      const why = 'no majority confirms this instance';
-      return this.say('Cannot promote safely.', {...fields, why});
+    if (!(yield* this.confirmsLeadership())) {
+      const why = 'no majority confirms the leadership of this instance';
+      return this.warnOnce('Cannot promote safely.', {...fields, why});
     }
-    this.mayBeStopped = true;
-    around.revokeLeases();
-    const found = yield* findSuccessor(around, lead.instance);
+    this.mayBePaused = true;
+    dependencies.revokeLeases();
+    const found = yield* findSuccessor(dependencies, assignment.instance);
     const {answers} = found;
     if (found.kind === 'wait') {
       const why = found.reason;
-      return this.say('Cannot promote safely.', {...fields, why, answers});
+      return this.warnOnce('Cannot promote safely.', {...fields, why, answers});
     }
-    const {instance: heir} = found;
-    log.info('Compared the logs.', {...fields, answers, heir});
-    if (!(yield* this.mayOrder(lead, found, fields, signal))) return;
-    yield* this.promote(heir, signal);
+    const {instance: successor} = found;
+    log.info('Chose a successor.', {...fields, answers, heir: successor});
+    if (!(yield* this.canPromote(assignment, found, fields, signal))) return;
+    yield* this.promote(successor, signal);
   }
 
   /**
-   * Guard: a leader of control that was suspended finds every member silent
-   * when it wakes, before it hears of its successor. It would stop replicas of
-   * healthy services that nobody starts again, or start those whose logs the
-   * successor is comparing. Costs a round of the log before each try.
+   * Guard: a control leader that was suspended finds every member silent before
+   * it hears of the next leader. It would pause replicas that nobody resumes,
+   * or resume replicas whose logs the next leader is comparing.
    */
-  private *provesLead(): Task<boolean> {
-    const done = yield* settled(this.around.confirmLeadership());
+  private *confirmsLeadership(): Task<boolean> {
+    const done = yield* settled(this.dependencies.confirmLeadership());
     return 'value' in done && done.value;
   }
 
-  private hasSuccessor({instance}: PrimaryAssignment): boolean {
-    return this.othersThan(instance).some(member => {
-      return this.around.monitorOf(member).silentMs < PRESENT_MS;
+  private hasReachableReplica({instance}: PrimaryAssignment): boolean {
+    return this.membersExcept(instance).some(member => {
+      return this.dependencies.monitorOf(member).silentMs < MAX_SILENCE_MS;
     });
   }
 
-  /** Waits until nobody can rely on the old lead; false where it may not. */
-  private *mayOrder(
-    lead: PrimaryAssignment,
-    found: SuccessorSearchResult & {kind: 'heir'},
+  /** Waits until all leases on the old primary ended; false if it is unsafe. */
+  private *canPromote(
+    assignment: PrimaryAssignment,
+    search: SuccessorSearchResult & {kind: 'successor'},
     fields: Record<string, string>,
     signal: AbortSignal,
   ): Task<boolean> {
-    const {around, ordering} = this;
-    const isOther = found.instance !== lead.instance;
-    // Guard: an order whose answer was lost can be carried out seconds later.
-    // Where nobody refuses it then, it would depose the member that is chosen
-    // now, and what that one acknowledged meanwhile would be lost.
-    const isOpen = lead.pending && !ordering.isSettled;
-    if (isOther && isOpen && !around.access.isFenced) {
-      const why = 'an earlier order may still be carried out';
-      this.say('Cannot promote safely.', {...fields, why});
+    const {dependencies, requests} = this;
+    const isOtherMember = search.instance !== assignment.instance;
+    // Guard: a request without a reply can take effect seconds later. Unless
+    // the authority fences it, it would replace the member that is promoted
+    // now, and the commits that this one acknowledged would be lost.
+    const mayTakeEffect = assignment.pending && !requests.hasExpired;
+    if (isOtherMember && mayTakeEffect && !dependencies.access.isFenced) {
+      const why = 'an earlier request may still take effect';
+      this.warnOnce('Cannot promote safely.', {...fields, why});
       return false;
     }
-    const startedAt = around.clock.now();
-    if (!found.hasSteppedDown) {
-      while (around.leaseHolders().length > 0 && !signal.aborted) {
-        yield* pause(LEASE_LOOK_MS);
+    const waitStartedAt = dependencies.clock.now();
+    if (!search.hasSteppedDown) {
+      while (dependencies.leaseHolders().length > 0 && !signal.aborted) {
+        yield* pause(LEASE_CHECK_INTERVAL_MS);
       }
     }
-    const waitedMs = Math.round(around.clock.now() - startedAt);
-    around.log.info('Leases are over.', {...fields, waitedMs});
+    const waitedMs = Math.round(dependencies.clock.now() - waitStartedAt);
+    dependencies.log.info('All leases ended.', {...fields, waitedMs});
     return !signal.aborted;
   }
 
-  private *promote(heir: string, signal: AbortSignal): Task<void> {
-    const {around, ordering} = this;
-    const {service, log} = around;
-    // An order of the leader before this one may go out for so long.
-    const fresh = this.startedAt + REQUEST_MAX_AGE_MS - around.clock.now();
-    if (fresh > 0) yield* pause(fresh);
-    const provenAt = around.access.clock.now();
-    const lead = around.assignment();
-    const named = yield* settled(around.assignPrimary(heir, true));
-    if (!('value' in named) || named.value.isErr) {
-      return this.say('Cannot name a lead without a majority.', {service});
+  private *promote(successor: string, signal: AbortSignal): Task<void> {
+    const {dependencies, requests} = this;
+    const {service, log} = dependencies;
+    // A request of the previous leader may still be sent for this long.
+    const remainingMs =
+      this.startedAt + REQUEST_MAX_AGE_MS - dependencies.clock.now();
+    if (remainingMs > 0) yield* pause(remainingMs);
+    const confirmedAt = dependencies.access.clock.now();
+    const previous = dependencies.assignment();
+    const assigned = yield* settled(
+      dependencies.assignPrimary(successor, true),
+    );
+    if (!('value' in assigned) || assigned.value.isErr) {
+      return this.warnOnce('No majority accepted the new primary.', {service});
     }
-    const token = named.value.value;
-    log.info('Promotes.', {service, heir, token});
-    if (lead?.instance !== heir) ordering.begin();
-    const outcome = yield* ordering.carryOut(heir, token, provenAt, signal);
-    if (outcome !== 'leads') return;
-    this.carriedOut = token;
-    around.onDidPromote(heir);
+    const token = assigned.value.value;
+    log.info('Promoting a member.', {service, heir: successor, token});
+    if (previous?.instance !== successor) requests.startNewAssignment();
+    const outcome = yield* requests.promote(
+      successor,
+      token,
+      confirmedAt,
+      signal,
+    );
+    if (outcome !== 'promoted') return;
+    this.lastEffectiveEpoch = token;
+    dependencies.onDidPromote(successor);
   }
 
   private memberOf(instance: string): Member | undefined {
-    return this.around.members().find(other => other.instance === instance);
+    return this.dependencies
+      .members()
+      .find(other => other.instance === instance);
   }
 
-  private othersThan(instance: string): readonly Member[] {
-    return this.around.members().filter(other => other.instance !== instance);
+  private membersExcept(instance: string): readonly Member[] {
+    return this.dependencies
+      .members()
+      .filter(other => other.instance !== instance);
   }
 
-  private say(sentence: string, fields: Record<string, string>): void {
+  private warnOnce(sentence: string, fields: Record<string, string>): void {
     const text = `${sentence} ${fields['why'] ?? ''}`;
-    const now = this.around.clock.now();
-    if (text === this.said.text && now - this.said.at < SAY_AGAIN_MS) return;
-    this.said = {text, at: now};
-    this.around.log.warn(sentence, fields);
+    const now = this.dependencies.clock.now();
+    if (text === this.warned.text && now - this.warned.at < REPEAT_MS) return;
+    this.warned = {text, at: now};
+    this.dependencies.log.warn(sentence, fields);
   }
 }
--- a/src/services/promotion/node/promotion_requests.ts
+++ b/src/services/promotion/node/promotion_requests.ts
@@ -3,109 +3,109 @@
 import type {PromotionRequest, PromotionOutcome} from './promotion_authority';
 import type {PromotionDependencies} from './promotion_dependencies';
 
-/** An order without an answer is repeated, in milliseconds. */
-const REPEAT_MS = 250;
-/** After an accepted order the member shows that it leads within this. */
-const SETTLE_MS = 4_000;
-const SETTLE_LOOK_MS = 50;
-/** An order without an answer may be carried out until 12 s later, in ms. */
-const LATE_ORDER_MS = 13_000;
+const RETRY_INTERVAL_MS = 250;
+const TAKE_EFFECT_TIMEOUT_MS = 4_000;
+const STATUS_CHECK_INTERVAL_MS = 50;
+/** Longer than the platform may take to execute a request without a reply. */
+const MAX_EFFECT_DELAY_MS = 13_000;
 /**
- * An order goes out only this long after a majority confirmed the leader, in
- * ms. Guard: an instance that was frozen between its decision and its order
- * would send a token that is lower than the next leader's.
+ * How soon a request must be sent after a majority confirmed the leader. Guard:
+ * an instance that was suspended in between would send a token that is lower
+ * than that of the next leader.
  */
 export const REQUEST_MAX_AGE_MS = 300;
 
-/** The orders of one service's promotions, and which may still be carried out. */
+/** Promotion requests of one service, and until when they may take effect. */
 export class PromotionRequests {
-  /** Copies of orders to the lead in force may be carried out until then. */
-  private lateUntil: number;
+  /** Requests for the current assignment may take effect until then. */
+  private mayTakeEffectUntil: number;
 
-  constructor(private readonly around: PromotionDependencies) {
-    this.lateUntil = around.clock.now() + LATE_ORDER_MS;
+  constructor(private readonly dependencies: PromotionDependencies) {
+    this.mayTakeEffectUntil = dependencies.clock.now() + MAX_EFFECT_DELAY_MS;
   }
 
-  /** Whether no copy of the last order is on its way any more. */
-  get isSettled(): boolean {
-    return this.around.clock.now() >= this.lateUntil;
+  /** Whether no copy of the last request can take effect any more. */
+  get hasExpired(): boolean {
+    return this.dependencies.clock.now() >= this.mayTakeEffectUntil;
   }
 
   /**
-   * Repeats one order until it is answered or the member leads. The same token
-   * each time: a copy that is carried out late names the same member.
+   * Repeats a request until it is refused or the member is the primary. All
+   * copies have the same token, so a late one promotes the same member.
    *
-   * @param provenAt When control last proved that it leads, on the clock that
-   *     counts suspensions.
+   * @param confirmedAt When leadership was last confirmed, on the clock that
+   *     advances during suspensions.
    */
-  *carryOut(
+  *promote(
     instance: string,
     token: number,
-    provenAt: number,
+    confirmedAt: number,
     signal: AbortSignal,
-  ): Task<'leads' | 'refused' | 'unclear'> {
-    const {service, holder, clock, log} = this.around;
-    const order = {service, instance, holder, token};
-    const until = clock.now() + SETTLE_MS;
-    let proof: number | undefined = provenAt;
+  ): Task<'promoted' | 'refused' | 'unclear'> {
+    const {service, holder, clock, log} = this.dependencies;
+    const request = {service, instance, holder, token};
+    const retryUntil = clock.now() + TAKE_EFFECT_TIMEOUT_MS;
+    let leadershipConfirmedAt: number | undefined = confirmedAt;
     let outcome: PromotionOutcome = 'not now';
-    let next = -Infinity;
-    while (clock.now() < until && !signal.aborted) {
-      if (outcome !== 'accepted' && clock.now() >= next) {
-        proof ??= yield* this.prove();
-        if (proof === undefined) return 'unclear';
-        outcome = yield* this.send(order, proof, signal);
-        proof = undefined;
-        log.info('Ordered a promotion.', {service, instance, token, outcome});
+    let nextSendAt = -Infinity;
+    while (clock.now() < retryUntil && !signal.aborted) {
+      if (outcome !== 'accepted' && clock.now() >= nextSendAt) {
+        leadershipConfirmedAt ??= yield* this.confirmLeadership();
+        if (leadershipConfirmedAt === undefined) return 'unclear';
+        outcome = yield* this.send(request, leadershipConfirmedAt, signal);
+        leadershipConfirmedAt = undefined;
+        log.info('Requested a promotion.', {service, instance, token, outcome});
         if (outcome === 'refused') return 'refused';
-        next = clock.now() + REPEAT_MS;
+        nextSendAt = clock.now() + RETRY_INTERVAL_MS;
       }
-      if (yield* this.leads(instance)) {
-        log.info('A member leads.', {service, instance, token});
-        return 'leads';
+      if (yield* this.isPrimary(instance)) {
+        log.info('The promotion took effect.', {service, instance, token});
+        return 'promoted';
       }
-      yield* pause(SETTLE_LOOK_MS);
+      yield* pause(STATUS_CHECK_INTERVAL_MS);
     }
     return 'unclear';
   }
 
-  /** Whether a member says itself that it leads. */
-  *leads(instance: string): Task<boolean> {
-    const member = this.around.members().find(other => {
+  /** Whether a member reports itself as the primary. */
+  *isPrimary(instance: string): Task<boolean> {
+    const member = this.dependencies.members().find(other => {
       return other.instance === instance;
     });
     if (!member) return false;
-    const [status] = yield* sendToAll(this.around, [member], {kind: 'status'});
+    const [status] = yield* sendToAll(this.dependencies, [member], {
+      kind: 'status',
+    });
     return status?.isPrimary === true;
   }
 
   private *send(
-    order: PromotionRequest,
-    provenAt: number,
+    request: PromotionRequest,
+    confirmedAt: number,
     signal: AbortSignal,
   ): Task<PromotionOutcome> {
-    const {clock, access} = this.around;
-    const isFresh = () => access.clock.now() - provenAt < REQUEST_MAX_AGE_MS;
-    const before = this.lateUntil;
-    this.lateUntil = clock.now() + LATE_ORDER_MS;
+    const {clock, access} = this.dependencies;
+    const isFresh = () => access.clock.now() - confirmedAt < REQUEST_MAX_AGE_MS;
+    const previous = this.mayTakeEffectUntil;
+    this.mayTakeEffectUntil = clock.now() + MAX_EFFECT_DELAY_MS;
     const done = yield* settled(
-      access.authority.promote(order, isFresh, signal),
+      access.authority.promote(request, isFresh, signal),
     );
     const outcome = 'value' in done ? done.value : 'unknown';
-    // An answer says that this copy is not on its way; others may be.
-    if (outcome !== 'unknown') this.lateUntil = before;
+    // A reply rules out this copy only; earlier ones may still take effect.
+    if (outcome !== 'unknown') this.mayTakeEffectUntil = previous;
     return outcome;
   }
 
-  private *prove(): Task<number | undefined> {
-    const {access} = this.around;
-    const askedAt = access.clock.now();
-    const done = yield* settled(this.around.confirmLeadership());
-    return 'value' in done && done.value ? askedAt : undefined;
+  private *confirmLeadership(): Task<number | undefined> {
+    const {access} = this.dependencies;
+    const requestedAt = access.clock.now();
+    const done = yield* settled(this.dependencies.confirmLeadership());
+    return 'value' in done && done.value ? requestedAt : undefined;
   }
 
-  /** A new lead begins with nothing on its way. */
-  begin(): void {
-    this.lateUntil = -Infinity;
+  /** Starts a new assignment, which no earlier request can affect. */
+  startNewAssignment(): void {
+    this.mayTakeEffectUntil = -Infinity;
   }
 }
--- a/src/services/promotion/node/successor_search.ts
+++ b/src/services/promotion/node/successor_search.ts
@@ -4,41 +4,43 @@
 import type {MemberStatus} from '../../target_link/common/member_status';
 import type {MemberMonitor} from './member_monitor';
 
-/** A primary that was silent for longer is not asked to step down, in ms. */
-const STEP_DOWN_SILENCE_MS = 400;
+/** A primary that has been silent for longer is not sent a step-down. */
+const MAX_STEP_DOWN_SILENCE_MS = 400;
 
-/** The members of a service, and how they are reached. */
+/** The members of a service and their monitors. */
 export interface MemberGroup {
   members(): readonly Member[];
   monitorOf(member: Member): MemberMonitor;
 }
 
-/** What a search came to. */
+/** The member that can be promoted, or why the search has to be repeated. */
 export type SuccessorSearchResult =
   | {
-      readonly kind: 'heir';
+      readonly kind: 'successor';
       readonly instance: string;
-      /** The old primary said itself that it leads no more. */
+      /** Whether the old primary confirmed that it stepped down. */
       readonly hasSteppedDown: boolean;
-      /** What the members answered, for the log. */
+      /** Log positions of all members, for the log line. */
       readonly answers: string;
     }
   | {readonly kind: 'wait'; readonly reason: string; readonly answers: string};
 
-/** Stops a service's writes and finds the member that may lead next. */
+/** Stops the writes of a service and finds the member to promote. */
 export function* findSuccessor(
   group: MemberGroup,
-  lead: string,
+  primary: string,
 ): Task<SuccessorSearchResult> {
   const members = group.members();
   const terms = members.map(member => group.monitorOf(member).term);
   const term = Math.max(0, ...terms) + 1;
-  const old = members.find(({instance}) => instance === lead);
-  const stepped = old && (yield* stepDown(group, old, term));
-  const hasSteppedDown = stepped !== undefined && !stepped.isPrimary;
-  const others = members.filter(({instance}) => instance !== lead);
-  // After the old primary stepped down nothing new is acknowledged, and its
-  // replicas may catch up; otherwise they have to stop before they count.
+  const oldPrimaryMember = members.find(({instance}) => instance === primary);
+  const stepDownStatus =
+    oldPrimaryMember && (yield* stepDown(group, oldPrimaryMember, term));
+  const hasSteppedDown =
+    stepDownStatus !== undefined && !stepDownStatus.isPrimary;
+  const others = members.filter(({instance}) => instance !== primary);
+  // Nothing new is acknowledged after the old primary stepped down, so its
+  // replicas may catch up. Otherwise they must stop before they report.
   const statuses = yield* sendToAll(
     group,
     others,
@@ -47,60 +49,62 @@
   const replicas: MemberLogState[] = [];
   for (const [index, member] of others.entries()) {
     let status = statuses[index];
-    // One that led before an order that was never carried out leads on.
+    // A member that was the primary before a promotion that never took effect
+    // still is.
     if (status?.isPrimary) {
       [status] = yield* sendToAll(group, [member], {kind: 'stepDown', term});
     }
-    replicas.push(answerOf(member, status));
+    replicas.push(toLogState(member, status));
   }
-  const oldPrimary = old && answerOf(old, stepped);
+  const oldPrimary =
+    oldPrimaryMember && toLogState(oldPrimaryMember, stepDownStatus);
   const choice = chooseSuccessor({oldPrimary, replicas});
-  const known = oldPrimary ? [oldPrimary, ...replicas] : replicas;
-  const answers = known.map(describe).join(' ');
+  const states = oldPrimary ? [oldPrimary, ...replicas] : replicas;
+  const answers = states.map(describe).join(' ');
   if (choice.kind === 'wait') return {...choice, answers};
   const {instance} = choice;
-  return {kind: 'heir', instance, hasSteppedDown, answers};
+  return {kind: 'successor', instance, hasSteppedDown, answers};
 }
 
-/** Gives an order to members side by side; what each answered. */
+/** Sends a command to members in parallel; undefined where none replied. */
 export function* sendToAll(
   group: MemberGroup,
   members: readonly Member[],
-  statement: Parameters<MemberMonitor['sendCommand']>[0],
+  command: Parameters<MemberMonitor['sendCommand']>[0],
 ): Task<(MemberStatus | undefined)[]> {
-  const orders = members.map(member => {
-    return group.monitorOf(member).sendCommand(statement);
+  const replies = members.map(member => {
+    return group.monitorOf(member).sendCommand(command);
   });
   const statuses: (MemberStatus | undefined)[] = [];
-  for (const order of orders) {
-    const done = yield* settled(order);
-    statuses.push('value' in done ? done.value : undefined);
+  for (const reply of replies) {
+    const outcome = yield* settled(reply);
+    statuses.push('value' in outcome ? outcome.value : undefined);
   }
   return statuses;
 }
 
 function* stepDown(
   group: MemberGroup,
-  old: Member,
+  primary: Member,
   term: number,
 ): Task<MemberStatus | undefined> {
-  // Waiting for the word of one that is gone would only add to the gap.
-  const {silentMs} = group.monitorOf(old);
-  if (silentMs > STEP_DOWN_SILENCE_MS) return undefined;
-  const [status] = yield* sendToAll(group, [old], {kind: 'stepDown', term});
+  // Waiting for a primary that has failed would only delay the promotion.
+  const {silentMs} = group.monitorOf(primary);
+  if (silentMs > MAX_STEP_DOWN_SILENCE_MS) return undefined;
+  const [status] = yield* sendToAll(group, [primary], {kind: 'stepDown', term});
   return status;
 }
 
-function answerOf(
+function toLogState(
   {instance, draining, recovering}: Member,
   status: MemberStatus | undefined,
 ): MemberLogState {
-  // One that leads was not stopped, so its log goes on.
+  // A primary did not stop, so its log may still grow.
   const received = status?.isPrimary ? undefined : status?.receivedPosition;
   return {instance, draining, recovering, received};
 }
 
 function describe({instance, received, recovering}: MemberLogState): string {
-  const at = received ? `${received.term}/${received.offset}` : 'silent';
-  return `${instance}:${at}${recovering ? ':recovering' : ''}`;
+  const position = received ? `${received.term}/${received.offset}` : 'silent';
+  return `${instance}:${position}${recovering ? ':recovering' : ''}`;
 }
--- a/src/services/promotion/test/common/assess_primary.test.ts
+++ b/src/services/promotion/test/common/assess_primary.test.ts
@@ -8,9 +8,9 @@
   over: Partial<PrimaryObservations> = {},
 ): PrimaryObservations => ({
   silentMs: 0,
-  refused: false,
+  isRefusing: false,
   draining: false,
-  denies: false,
+  isReplica: false,
   proxies: 6,
   complaints: 0,
   complainedMs: 0,
@@ -22,46 +22,43 @@
   return assessPrimary(view(over)).kind === 'replace';
 };
 
-describe('the verdict on a primary', () => {
-  it('replaces one that is silent to control and to the proxies', () => {
+describe('assessPrimary', () => {
+  it('replaces a primary that is silent for control and the proxies', () => {
     expect(isReplaced({silentMs: 800, complaints: 4})).toBe(true);
   });
 
-  it('keeps one that only control cannot reach', () => {
-    // A cut between control and the primary: proxies are served. A change
-    // would stop writes for a second and win nothing.
+  it('keeps a primary that only control cannot reach', () => {
+    // Guards against a needless interruption of writes during a partition
+    // between control and the primary.
     expect(isReplaced({silentMs: 5_000, complaints: 0})).toBe(false);
   });
 
-  it('replaces one that only the proxies cannot reach, if that lasts', () => {
+  it('replaces a primary that proxies have not reached for some time', () => {
     const cut = {complaints: 3, complainedMs: 200};
     expect(isReplaced(cut)).toBe(false);
     expect(isReplaced({...cut, complainedMs: 1_200})).toBe(true);
   });
 
-  it('keeps one that a minority of proxies cannot reach', () => {
+  it('keeps a primary that a minority of proxies cannot reach', () => {
     expect(isReplaced({complaints: 2, complainedMs: 9_000})).toBe(false);
   });
 
-  it('replaces one that leaves, and one whose process is gone', () => {
+  it('replaces a primary that is drained or whose process has exited', () => {
     expect(isReplaced({draining: true})).toBe(true);
-    const gone = {refused: true, silentMs: 200, complaints: 6};
+    const gone = {isRefusing: true, silentMs: 200, complaints: 6};
     expect(isReplaced(gone)).toBe(true);
   });
 
-  it('goes on to replace one whose lead was revoked', () => {
-    // A primary is cut off together with some proxies, and a replica is too
-    // busy to answer the first search for an heir. The proxies were told to
-    // rely on nobody meanwhile, and do not complain of nobody. Control took
-    // that for content: for 6 s no search followed, and nobody led until the
-    // cut healed.
+  it('replaces a silent primary whose leases were revoked', () => {
+    // Guards against a service without a primary: after the first search found
+    // no successor, proxies without a lease send no more failure reports.
     const revoked = {isRevoked: true, complaints: 0};
     expect(isReplaced({...revoked, silentMs: 1_400})).toBe(true);
-    const gone = {refused: true, silentMs: 200};
+    const gone = {isRefusing: true, silentMs: 200};
     expect(isReplaced({...revoked, ...gone})).toBe(true);
   });
 
-  it('keeps one whose lead was revoked and that answers again', () => {
+  it('keeps a primary that replies again after its leases were revoked', () => {
     expect(isReplaced({isRevoked: true, silentMs: 100})).toBe(false);
   });
 });
--- a/src/services/promotion/test/common/choose_successor.test.ts
+++ b/src/services/promotion/test/common/choose_successor.test.ts
@@ -4,7 +4,7 @@
   type MemberLogState,
 } from '../../common/choose_successor';
 
-const answer = (
+const replied = (
   instance: string,
   offset: number | undefined,
   more: Partial<MemberLogState> = {},
@@ -16,107 +16,105 @@
   ...more,
 });
 
-const silent = (instance: string) => answer(instance, undefined);
+const silent = (instance: string) => replied(instance, undefined);
 
-describe('the choice of an heir', () => {
-  it('takes the replica that received the most', () => {
+describe('chooseSuccessor', () => {
+  it('chooses the replica with the longest log', () => {
     const choice = chooseSuccessor({
       oldPrimary: silent('a'),
-      replicas: [answer('b', 7), answer('c', 9)],
+      replicas: [replied('b', 7), replied('c', 9)],
     });
     expect(choice).toEqual({kind: 'promote', instance: 'c'});
   });
 
   it('waits for a replica that may hold the only copy of a commit', () => {
-    // The primary dies together with replica c. A commit was acknowledged once
-    // any one replica had it, so c may have it and b not. Promoting b now would
-    // lose a lodgement that its caller was told is filed.
+    // Guards against losing an acknowledged commit: the primary and replica c
+    // fail together, and c may be the only replica that received it.
     const choice = chooseSuccessor({
       oldPrimary: silent('a'),
-      replicas: [answer('b', 7), silent('c')],
+      replicas: [replied('b', 7), silent('c')],
     });
-    expect(choice).toEqual({kind: 'wait', reason: 'no proof by the logs of c'});
+    expect(choice).toEqual({kind: 'wait', reason: 'no complete log from c'});
   });
 
-  it('does without the others where one reached the end of the log', () => {
+  it('chooses a replica that reached the end of the log without others', () => {
     const choice = chooseSuccessor({
-      oldPrimary: answer('a', 9),
-      replicas: [answer('b', 9), silent('c')],
+      oldPrimary: replied('a', 9),
+      replicas: [replied('b', 9), silent('c')],
     });
     expect(choice).toEqual({kind: 'promote', instance: 'b'});
   });
 
-  it('takes no proof from one that started again without its log', () => {
-    // Replica b confirmed a commit that c never got, starts again with an
-    // empty log, and the primary is lost. Both answer, but the commit is only
-    // where the primary is: promoting c would lose a booking.
+  it('waits where a replica was restarted without its log', () => {
+    // Guards against losing a commit that only b had confirmed before it was
+    // restarted with an empty log.
     const choice = chooseSuccessor({
       oldPrimary: silent('a'),
-      replicas: [answer('b', 0, {recovering: true}), answer('c', 9)],
+      replicas: [replied('b', 0, {recovering: true}), replied('c', 9)],
     });
     expect(choice).toEqual({
       kind: 'wait',
-      reason: 'no proof by the logs of b',
+      reason: 'no complete log from b',
     });
   });
 
-  it('lets one lead that started again once it holds everything', () => {
+  it('chooses a restarted replica once it has caught up', () => {
     const choice = chooseSuccessor({
-      oldPrimary: answer('a', 9),
-      replicas: [answer('b', 9, {recovering: true}), silent('c')],
+      oldPrimary: replied('a', 9),
+      replicas: [replied('b', 9, {recovering: true}), silent('c')],
     });
     expect(choice).toEqual({kind: 'promote', instance: 'b'});
   });
 
-  it('takes no end of the log from a primary that started again', () => {
-    // The primary crashes and starts again empty before anyone notices. Its
-    // log ends below what its replicas hold; the most of them must lead.
+  it('ignores the end of the log of a restarted primary', () => {
+    // Guards against losing commits when the primary is restarted with an empty
+    // log: it ends before the logs of its replicas.
     const choice = chooseSuccessor({
-      oldPrimary: answer('a', 0, {recovering: true}),
-      replicas: [answer('b', 7), silent('c')],
+      oldPrimary: replied('a', 0, {recovering: true}),
+      replicas: [replied('b', 7), silent('c')],
     });
     expect(choice).toEqual({
       kind: 'wait',
-      reason: 'no proof by the logs of c',
+      reason: 'no complete log from c',
     });
   });
 
-  it('compares terms before numbers', () => {
-    const old = answer('b', 50, {received: {term: 2, offset: 50}});
+  it('compares terms before offsets', () => {
+    const old = replied('b', 50, {received: {term: 2, offset: 50}});
     const choice = chooseSuccessor({
       oldPrimary: silent('a'),
-      replicas: [old, answer('c', 9)],
+      replicas: [old, replied('c', 9)],
     });
     expect(choice).toEqual({kind: 'promote', instance: 'c'});
   });
 
-  it('counts a leaving replica, and prefers one that stays', () => {
-    const leaving = answer('b', 9, {draining: true});
+  it('prefers a replica that is not draining among equal logs', () => {
+    const leaving = replied('b', 9, {draining: true});
     const equal = chooseSuccessor({
       oldPrimary: silent('a'),
-      replicas: [leaving, answer('c', 9)],
+      replicas: [leaving, replied('c', 9)],
     });
     expect(equal).toEqual({kind: 'promote', instance: 'c'});
     const ahead = chooseSuccessor({
       oldPrimary: silent('a'),
-      replicas: [leaving, answer('c', 8)],
+      replicas: [leaving, replied('c', 8)],
     });
     expect(ahead).toEqual({kind: 'promote', instance: 'b'});
   });
 
-  it('never leaves out an acknowledged commit, in any small case', () => {
-    // Every way in which three members can hold the first n of 3 commits, each
-    // acknowledged once one replica had it; any of them may be silent.
+  it('never loses an acknowledged commit in any case of three members', () => {
+    // All combinations of logs with up to 3 commits and of silent members.
+    // A commit is acknowledged once one replica has it.
     const holds = [undefined, 0, 1, 2, 3];
     for (const first of [0, 1, 2, 3]) {
       for (const second of [0, 1, 2, 3]) {
         const acknowledged = Math.max(first, second);
         for (const end of holds) {
           if (end !== undefined && end < acknowledged) continue;
-          for (const [b, c] of silences(first, second)) {
+          for (const [b, c] of withSilentReplicas(first, second)) {
             const choice = chooseSuccessor({
-              oldPrimary: answer('a', end),
-              replicas: [answer('b', b), answer('c', c)],
+              oldPrimary: replied('a', end),
+              replicas: [replied('b', b), replied('c', c)],
             });
             if (choice.kind === 'wait') continue;
             const held = choice.instance === 'b' ? first : second;
@@ -128,7 +126,7 @@
   });
 });
 
-function silences(b: number, c: number): (number | undefined)[][] {
+function withSilentReplicas(b: number, c: number): (number | undefined)[][] {
   return [
     [b, c],
     [undefined, c],
--- a/src/services/promotion/test/node/member_monitor.test.ts
+++ b/src/services/promotion/test/node/member_monitor.test.ts
@@ -8,24 +8,24 @@
 } from '../../../target_link/common/target_link';
 import {MemberMonitor, pingIntervalMs} from '../../node/member_monitor';
 
-/** A member that counts questions, and answers while it lives. */
+/** A member that counts requests, and replies unless it is silent. */
 class CountingMember implements TargetConnector {
-  asked = 0;
+  requestCount = 0;
   isSilent = false;
 
   connect(): Promise<Result<TargetLink, ConnectFailure>> {
     const link: TargetLink = {
       isClosed: false,
       positionAtOpen: undefined,
-      send: calls => calls.map(() => this.answer()),
+      send: calls => calls.map(() => this.reply()),
       onDidClose: () => {},
       close: () => {},
     };
     return Promise.resolve(ok(link));
   }
 
-  private answer() {
-    this.asked++;
+  private reply() {
+    this.requestCount++;
     if (this.isSilent) return new Promise<never>(() => {});
     const result = DONE_LOCALLY;
     const state = 'idle' as const;
@@ -56,7 +56,7 @@
   vi.useRealTimers();
 });
 
-function watch(members: number): MemberMonitor {
+function startMonitor(memberCount: number): MemberMonitor {
   const entry = {
     instance: 'i',
     service: 'books',
@@ -74,35 +74,34 @@
     {read: () => undefined},
     {now: () => Date.now()},
     stop.signal,
-    () => pingIntervalMs(members),
+    () => pingIntervalMs(memberCount),
   );
 }
 
-it('asks few members four times a second', async () => {
-  watch(100);
+it('pings each of a few members four times a second', async () => {
+  startMonitor(100);
   await vi.advanceTimersByTimeAsync(10_000);
-  expect(member.asked).toBeGreaterThanOrEqual(38);
+  expect(member.requestCount).toBeGreaterThanOrEqual(38);
 });
 
-it('asks many members 600 times a second in all, and takes none for silent', async () => {
-  // Load: 1,000 members of one leader. Asked 4,000 times a second, a control
-  // instance with 0.4 of a core did nothing else; asked less often and judged
-  // by the time since the last answer, each member would look dead in between.
-  const watched = watch(1_000);
+it('limits the pings of many members, none of which is silent', async () => {
+  // Guards against a control instance that is overloaded by pings, and against
+  // members that seem silent between two pings.
+  const monitor = startMonitor(1_000);
   let longest = 0;
   for (let step = 0; step < 400; step++) {
     await vi.advanceTimersByTimeAsync(50);
-    longest = Math.max(longest, watched.silentMs);
+    longest = Math.max(longest, monitor.silentMs);
   }
-  expect(member.asked).toBeLessThanOrEqual(13);
-  expect(member.asked).toBeGreaterThanOrEqual(10);
+  expect(member.requestCount).toBeLessThanOrEqual(13);
+  expect(member.requestCount).toBeGreaterThanOrEqual(10);
   expect(longest).toBeLessThanOrEqual(260);
 });
 
-it('notices one that does not answer', async () => {
-  const watched = watch(100);
+it('detects a member that does not reply', async () => {
+  const monitor = startMonitor(100);
   await vi.advanceTimersByTimeAsync(2_000);
   member.isSilent = true;
   await vi.advanceTimersByTimeAsync(1_000);
-  expect(watched.silentMs).toBeGreaterThan(700);
+  expect(monitor.silentMs).toBeGreaterThan(700);
 });
--- a/src/services/promotion/test/node/promotion_driver.test.ts
+++ b/src/services/promotion/test/node/promotion_driver.test.ts
@@ -9,15 +9,15 @@
 import {makeLog} from '../../../gateway/test/node/session_fixture';
 import {MemberMonitor} from '../../node/member_monitor';
 import {PromotionDriver} from '../../node/promotion_driver';
-import {OrderedGroup} from './ordered_group';
+import {SimulatedGroup} from './simulated_group';
 
-/** One leadership of control before one service with three members. */
+/** Runs the driver of one service with three members for one leadership. */
 class Leadership {
-  readonly group = new OrderedGroup(['a', 'b', 'c']);
+  readonly group = new SimulatedGroup(['a', 'b', 'c']);
   readonly stop = ownController();
   readonly clock = new MonotonicClock();
-  readonly logged = makeLog();
-  lead: PrimaryAssignment = {
+  readonly logger = makeLog();
+  assignment: PrimaryAssignment = {
     service: 'books',
     instance: 'a',
     epoch: 1,
@@ -27,7 +27,7 @@
   isRevoked = false;
   complaints = 0;
   readonly promoted: string[] = [];
-  private readonly watches = new Map<string, MemberMonitor>();
+  private readonly monitors = new Map<string, MemberMonitor>();
 
   start(): void {
     this.group.member('a').isPrimary = true;
@@ -35,7 +35,7 @@
       service: 'books',
       holder: 'control-1',
       clock: this.clock,
-      log: this.logged.log,
+      log: this.logger.log,
       access: {
         authority: {
           promote: ({instance}) => {
@@ -49,8 +49,8 @@
       },
       members: () => this.group.members.map(({record}) => record),
       claimedPrimary: () => undefined,
-      assignment: () => this.lead,
-      monitorOf: member => this.watchOf(member),
+      assignment: () => this.assignment,
+      monitorOf: member => this.monitorOf(member),
       failureReportsOf: () => {
         const {complaints} = this;
         return {proxies: 4, complaints, complainedMs: 0};
@@ -63,8 +63,8 @@
       leaseHolders: () => [],
       confirmLeadership: () => Promise.resolve(this.isConfirmed),
       assignPrimary: (instance, ordered) => {
-        const epoch = this.lead.epoch + 1;
-        this.lead = {service: 'books', instance, epoch, pending: ordered};
+        const epoch = this.assignment.epoch + 1;
+        this.assignment = {service: 'books', instance, epoch, pending: ordered};
         return Promise.resolve(ok(epoch));
       },
       completePromotion: () => Promise.resolve(true),
@@ -75,13 +75,13 @@
     void driver.start(this.stop.signal);
   }
 
-  private watchOf(member: Member): MemberMonitor {
+  private monitorOf(member: Member): MemberMonitor {
     const {instance} = member;
-    const known = this.watches.get(instance);
+    const known = this.monitors.get(instance);
     if (known) return known;
     const {group, clock, stop} = this;
     const watch = new MemberMonitor(member, group, group, clock, stop.signal);
-    this.watches.set(instance, watch);
+    this.monitors.set(instance, watch);
     return watch;
   }
 }
@@ -97,35 +97,31 @@
 
 const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
-async function until(holds: () => boolean): Promise<void> {
-  for (let looks = 0; looks < 500 && !holds(); looks++) await pause(10);
-  expect(holds()).toBe(true);
+async function until(condition: () => boolean): Promise<void> {
+  for (let tries = 0; tries < 500 && !condition(); tries++) await pause(10);
+  expect(condition()).toBe(true);
 }
 
-describe('the promotions of a service', () => {
-  it('stop no replica unless control proves that it leads', async () => {
-    // The leader of control froze for 6 s, and another one was elected. When
-    // it woke it saw every primary silent, and told replicas of all services to
-    // stop receiving before it heard that it was deposed. The new leader knew
-    // nothing of that: replicas of healthy services fell behind for good, and
-    // their reads were refused for the rest of the day.
+describe('PromotionDriver', () => {
+  it('pauses no replica before a majority confirms leadership', async () => {
+    // Guards against a suspended control leader that finds all primaries silent
+    // and pauses replicas, which the next leader would not resume.
     const {group} = leadership;
     await pause(800);
     leadership.isConfirmed = false;
     leadership.complaints = 4;
     group.member('a').isSilent = true;
     await pause(1_600);
-    expect(group.member('b').orders).not.toContain('pause');
+    expect(group.member('b').commands).not.toContain('pause');
     expect(leadership.isRevoked).toBe(false);
     leadership.isConfirmed = true;
     await until(() => leadership.promoted.length > 0);
-    expect(group.member('b').orders).toContain('pause');
+    expect(group.member('b').commands).toContain('pause');
   });
 
-  it('are tried again where a replica did not answer at first', async () => {
-    // The primary is cut off, and one replica has no room for control's order.
-    // The proxies, told to rely on nobody, complain no more. Control searched
-    // once and never again, and nobody led until the cut healed.
+  it('retries the search when a replica did not reply at first', async () => {
+    // Guards against a service without a primary: after the first search the
+    // leases are revoked, and proxies send no more failure reports.
     const {group} = leadership;
     await pause(800);
     leadership.complaints = 4;
--- a/src/services/promotion/test/node/ordered_group.ts
+++ b/src/services/promotion/test/node/simulated_group.ts
@@ -18,12 +18,12 @@
   StatusReader,
 } from '../../../target_link/common/member_status';
 
-/** A member as control meets it: answers questions and takes orders. */
-export class OrderedMember {
+/** A member in memory that replies to pings and executes commands. */
+export class SimulatedMember {
   isSilent = false;
   isPrimary = false;
   position: Position = {term: 1, offset: 10};
-  readonly orders: string[] = [];
+  readonly commands: string[] = [];
 
   constructor(readonly instance: string) {}
 
@@ -41,24 +41,24 @@
     };
   }
 
-  /** Runs an order or a question of control. */
+  /** Executes a command or a ping of control. */
   run(kind: string): StatementResult {
     if (kind === 'reset') return DONE_LOCALLY;
-    if (kind !== 'status') this.orders.push(kind);
+    if (kind !== 'status') this.commands.push(kind);
     if (kind === 'stepDown') this.isPrimary = false;
     return {kind: 'done', rows: [this.instance], signature: ''};
   }
 }
 
-/** Members in memory, behind the seam that control sees. */
-export class OrderedGroup implements TargetConnector, StatusReader {
-  readonly members: readonly OrderedMember[];
+/** Members in memory, and the connections of control to them. */
+export class SimulatedGroup implements TargetConnector, StatusReader {
+  readonly members: readonly SimulatedMember[];
 
   constructor(instances: readonly string[]) {
-    this.members = instances.map(instance => new OrderedMember(instance));
+    this.members = instances.map(instance => new SimulatedMember(instance));
   }
 
-  member(instance: string): OrderedMember {
+  member(instance: string): SimulatedMember {
     return this.members.find(other => other.instance === instance)!;
   }
 
@@ -67,7 +67,7 @@
   }: TargetAddress): Promise<Result<TargetLink, ConnectFailure>> {
     const member = this.member(instance);
     if (member.isSilent) return Promise.resolve(err('silent'));
-    return Promise.resolve(ok(new OrderedLink(member)));
+    return Promise.resolve(ok(new SimulatedLink(member)));
   }
 
   read(result: StatementResult): MemberStatus | undefined {
@@ -81,12 +81,12 @@
   }
 }
 
-class OrderedLink implements TargetLink {
+class SimulatedLink implements TargetLink {
   isClosed = false;
   private readonly listeners: (() => void)[] = [];
-  private readonly waiting: ((reply: TargetReply) => void)[] = [];
+  private readonly pending: ((reply: TargetReply) => void)[] = [];
 
-  constructor(private readonly member: OrderedMember) {}
+  constructor(private readonly member: SimulatedMember) {}
 
   get positionAtOpen(): Position {
     return this.member.position;
@@ -96,7 +96,7 @@
     return calls.map(({statement}) => {
       const {member} = this;
       if (member.isSilent) {
-        return new Promise(resolve => this.waiting.push(resolve));
+        return new Promise(resolve => this.pending.push(resolve));
       }
       const result = member.run(statement.kind);
       const {position} = member;
@@ -112,7 +112,7 @@
     if (this.isClosed) return;
     this.isClosed = true;
     const lost: TargetReply = {kind: 'lost', reason: 'closed'};
-    for (const settle of this.waiting.splice(0)) settle(lost);
+    for (const settle of this.pending.splice(0)) settle(lost);
     for (const listener of this.listeners) listener();
   }
 }
