--- a/src/services/failover/common/failover.ts
+++ b/src/services/failover/common/failover.ts
@@ -79,7 +79,7 @@
 ): boolean {
   const observers = view.proxies.filter(proxy => proxy.attached);
   const against = observers.filter(proxy => {
-    return proxy.reportsLostTerm === view.record.term;
+    return proxy.unreachableTerm === view.record.term;
   });
   const own = isLostToControl(view, primary) ? 1 : 0;
   return (against.length + own) * 2 > observers.length + 1;
@@ -109,7 +109,7 @@
   if (cut.length === replicas.length) return true;
   const observers = view.proxies.filter(proxy => proxy.attached);
   const unconfirmed = observers.filter(proxy => {
-    return proxy.reportsUnconfirmedTerm === view.record.term;
+    return proxy.unconfirmedTerm === view.record.term;
   });
   return cut.length > 0 && unconfirmed.length * 2 > observers.length;
 }
@@ -296,7 +296,7 @@
 function holdsAllAcknowledged(view: FailoverView, heir: TargetView): boolean {
   const held = heldPosition(heir.status!);
   return view.proxies.every(proxy => {
-    if (proxy.handedBackBelow < view.record.term) return false;
+    if (proxy.returnedBelow < view.record.term) return false;
     const highest = proxy.highestAcknowledged ?? ORIGIN_POSITION;
     return comparePositions(held, highest) >= 0;
   });
@@ -355,7 +355,7 @@
 function describeProxies(view: FailoverView): string {
   const attached = view.proxies.filter(proxy => proxy.attached);
   const lost = attached.filter(proxy => {
-    return proxy.reportsLostTerm === view.record.term;
+    return proxy.unreachableTerm === view.record.term;
   });
   return `${lost.length} of ${attached.length} proxies report a loss`;
 }
--- a/src/services/failover/common/failover_view.ts
+++ b/src/services/failover/common/failover_view.ts
@@ -25,15 +25,15 @@
   readonly id: string;
   readonly attached: boolean;
   /** When a lease was last granted, on the leader's clock. */
-  readonly lastGrantAt: number;
+  readonly lastGrantedAt: number;
   /** The proxy's word that it holds no lease below this term. */
-  readonly handedBackBelow: number;
+  readonly returnedBelow: number;
   /** The highest position it acknowledged, where it handed back. */
   readonly highestAcknowledged: Position | undefined;
   /** It reports the primary of this term as unreachable. */
-  readonly reportsLostTerm: number;
+  readonly unreachableTerm: number;
   /** It reports commits of this term that no replica confirms. */
-  readonly reportsUnconfirmedTerm: number;
+  readonly unconfirmedTerm: number;
 }
 
 /** Everything that a decision about one service is made from. */
--- a/src/services/failover/test/common/failover.test.ts
+++ b/src/services/failover/test/common/failover.test.ts
@@ -55,11 +55,11 @@
   return {
     id,
     attached: true,
-    lastGrantAt: 0,
-    handedBackBelow: 0,
+    lastGrantedAt: 0,
+    returnedBelow: 0,
     highestAcknowledged: undefined,
-    reportsLostTerm: 0,
-    reportsUnconfirmedTerm: 0,
+    unreachableTerm: 0,
+    unconfirmedTerm: 0,
     ...parts,
   };
 }
@@ -148,7 +148,7 @@
   it('is content with one that holds all that any proxy acknowledged', () => {
     const handedBack = (offset: number) =>
       proxy('p', {
-        handedBackBelow: 2,
+        returnedBelow: 2,
         highestAcknowledged: {term: 1, offset},
       });
     const targets = [dead('a'), dead('b'), target('c', {})];
@@ -162,9 +162,9 @@
 
   it('waits for leases: handed back, run out, or an earlier leader’s', () => {
     const targets = [dead('a'), target('b', {}), target('c', {})];
-    const held = [proxy('p', {lastGrantAt: 9_500})];
+    const held = [proxy('p', {lastGrantedAt: 9_500})];
     expect(decide({targets, proxies: held})).toEqual([]);
-    const ranOut = [proxy('p', {lastGrantAt: 9_200})];
+    const ranOut = [proxy('p', {lastGrantedAt: 9_200})];
     expect(decide({targets, proxies: ranOut})).toHaveLength(2);
     const newLeader = {leaderSince: 9_900, targets, proxies: ranOut};
     expect(decide(newLeader)).toEqual([]);
@@ -189,7 +189,7 @@
 
   it('is, for a majority of control and proxies', () => {
     const targets = [leading({silentMs: 600}), ...replicas];
-    const lost = {reportsLostTerm: 1};
+    const lost = {unreachableTerm: 1};
     const proxies = [proxy('p1', lost), proxy('p2', lost), proxy('p3')];
     expect(decide({record: steady(), targets, proxies})).toMatchObject([
       {kind: 'begin', term: 2, planned: false},
--- a/src/services/lease/common/lease_expiry.ts
+++ b/src/services/lease/common/lease_expiry.ts
@@ -1,29 +1,29 @@
-/** What the grantor of leases knows of one holder. */
+/** What the control leader knows of one lease holder. */
 export interface LeaseHolderState {
-  /** When a lease was last granted, on the grantor's clock. */
-  readonly lastGrantAt: number;
-  /** The holder's word that it relies on no lease below this number. */
-  readonly handedBackBelow: number;
+  /** When a lease was last granted, on the leader's clock. */
+  readonly lastGrantedAt: number;
+  /** The holder has returned all leases on terms or epochs below this. */
+  readonly returnedBelow: number;
 }
 
-/** The time by which leases of earlier grantors are over, and how long they last. */
+/** By when leases of earlier leaders have expired. */
 export interface LeaseBounds {
-  /** When this grantor began; an earlier one granted nothing after it. */
+  /** When this leader was elected; earlier ones granted nothing after it. */
   readonly leaderSince: number;
-  /** The longest that a lease lasts on the grantor's clock, in ms. */
+  /** Longest time that a lease can last on the leader's clock, in ms. */
   readonly maxLeaseMs: number;
 }
 
 /**
- * Whether a holder can rely no more on the leases below a number: by its own
- * word, or because the last one that anybody granted it has run out.
+ * Whether a holder has no lease below a term or epoch any more, because it
+ * returned them or because the last one that any leader granted has expired.
  */
 export function hasLeaseEnded(
-  {handedBackBelow, lastGrantAt}: LeaseHolderState,
+  {returnedBelow, lastGrantedAt}: LeaseHolderState,
   below: number,
   {leaderSince, maxLeaseMs}: LeaseBounds,
   now: number,
 ): boolean {
-  if (handedBackBelow >= below) return true;
-  return now >= Math.max(lastGrantAt, leaderSince) + maxLeaseMs;
+  if (returnedBelow >= below) return true;
+  return now >= Math.max(lastGrantedAt, leaderSince) + maxLeaseMs;
 }
--- a/src/services/lease/common/lease_holders.ts
+++ b/src/services/lease/common/lease_holders.ts
@@ -2,72 +2,71 @@
 import {hasLeaseEnded} from './lease_expiry';
 
 /**
- * A lease runs from the proxy's question, so it ends on control's clock before
- * this: two steady clocks drift apart by less than a thousandth, and timers
- * fire a few milliseconds late.
+ * A lease runs from the proxy's request, so it has ended on control's clock by
+ * then. The margin covers clock drift and late timers.
  */
-const LEASE_BOUND_MS = LEASE_MS + 50;
+const MAX_LEASE_MS = LEASE_MS + 50;
 
 interface Holder {
-  lastGrantAt: number;
-  /** By service: it relies on no epoch below this. */
-  readonly handedBackBelow: Map<string, number>;
+  lastGrantedAt: number;
+  /** By service; it holds no lease on an epoch below this. */
+  readonly returnedBelow: Map<string, number>;
 }
 
 /**
- * The proxies that may rely on leads of services, as the leader of control
- * knows them. It begins empty with each leader; what earlier ones granted ends
- * a lease's time after this one began, since a majority confirmed it before.
+ * The proxies that may hold leases on primaries, as the control leader knows
+ * them. Each leader starts with none; a lease of an earlier leader expires
+ * within the lease time after this one was elected.
  */
 export class LeaseHolders {
-  private readonly holders = new Map<string, Holder>();
+  private readonly proxies = new Map<string, Holder>();
 
-  constructor(private readonly since: number) {}
+  constructor(private readonly leaderSince: number) {}
 
-  /** Takes note that a proxy was granted leases on all leads it knows. */
+  /** Records that a proxy was granted leases on all primaries it knows. */
   onRenewed(proxy: string, now: number): void {
-    this.holderOf(proxy).lastGrantAt = now;
+    this.holderOf(proxy).lastGrantedAt = now;
   }
 
-  /** Takes a proxy's word that it relies no more on an epoch. */
+  /** Records that a proxy holds no lease on an epoch any more. */
   onReturned(proxy: string, service: string, epoch: number): void {
-    const {handedBackBelow} = this.holderOf(proxy);
-    const known = handedBackBelow.get(service) ?? 0;
-    handedBackBelow.set(service, Math.max(known, epoch + 1));
+    const {returnedBelow} = this.holderOf(proxy);
+    const known = returnedBelow.get(service) ?? 0;
+    returnedBelow.set(service, Math.max(known, epoch + 1));
   }
 
-  /** Whether some proxy has given up an epoch. */
+  /** Whether any proxy has returned its lease on an epoch. */
   hasReturned(service: string, epoch: number): boolean {
-    return [...this.holders.values()].some(({handedBackBelow}) => {
-      return (handedBackBelow.get(service) ?? 0) > epoch;
+    return [...this.proxies.values()].some(({returnedBelow}) => {
+      return (returnedBelow.get(service) ?? 0) > epoch;
     });
   }
 
   /**
-   * Who may still rely on an epoch; 'earlier holders' stands for those that
-   * this leader has not heard of.
+   * The proxies that may still hold a lease on an epoch; 'earlier holders'
+   * stands for those of earlier leaders.
    */
   holdersOf(service: string, epoch: number, now: number): string[] {
-    const {since} = this;
-    const bounds = {leaderSince: since, maxLeaseMs: LEASE_BOUND_MS};
-    // Before this leader told of a lead, it granted no lease on it.
-    const granted = epoch > 0 ? [...this.holders] : [];
-    const relying = granted
-      .filter(([, {lastGrantAt, handedBackBelow}]) => {
-        const below = handedBackBelow.get(service) ?? 0;
-        const holding = {lastGrantAt, handedBackBelow: below};
-        return !hasLeaseEnded(holding, epoch + 1, bounds, now);
+    const {leaderSince} = this;
+    const bounds = {leaderSince, maxLeaseMs: MAX_LEASE_MS};
+    // This leader granted no lease on an assignment before it published it.
+    const candidates = epoch > 0 ? [...this.proxies] : [];
+    const leaseHolders = candidates
+      .filter(([, {lastGrantedAt, returnedBelow}]) => {
+        const below = returnedBelow.get(service) ?? 0;
+        const state = {lastGrantedAt, returnedBelow: below};
+        return !hasLeaseEnded(state, epoch + 1, bounds, now);
       })
       .map(([proxy]) => proxy);
-    if (now < since + LEASE_BOUND_MS) relying.push('earlier holders');
-    return relying;
+    if (now < leaderSince + MAX_LEASE_MS) leaseHolders.push('earlier holders');
+    return leaseHolders;
   }
 
   private holderOf(proxy: string): Holder {
-    const known = this.holders.get(proxy);
+    const known = this.proxies.get(proxy);
     if (known) return known;
-    const holder = {lastGrantAt: -Infinity, handedBackBelow: new Map()};
-    this.holders.set(proxy, holder);
+    const holder = {lastGrantedAt: -Infinity, returnedBelow: new Map()};
+    this.proxies.set(proxy, holder);
     return holder;
   }
 }
--- a/src/services/lease/common/lease_registry.ts
+++ b/src/services/lease/common/lease_registry.ts
@@ -5,60 +5,63 @@
 import type {Position} from '../../position/common/position';
 import type {ProxyView} from '../../failover/common/failover_view';
 
-/** A proxy that says nothing for this long counts as detached. */
-const DETACHED_MS = 1_000;
+/** A proxy that has been silent for longer counts as detached. */
+const ATTACHED_TIMEOUT_MS = 1_000;
 
-interface HandedBack {
+interface ReturnedLease {
   readonly belowTerm: number;
-  readonly highest: Position | undefined;
+  readonly highestAcknowledged: Position | undefined;
 }
 
-interface Reported {
-  readonly lostTerm: number;
+interface FailureReport {
+  readonly unreachableTerm: number;
   readonly unconfirmedTerm: number;
 }
 
 interface ProxyState {
-  lastGrantAt: number;
-  heardAt: number;
+  lastGrantedAt: number;
+  lastHeardAt: number;
   attached: boolean;
   settingsVersion: number;
-  readonly handBacks: Map<string, HandedBack>;
-  reports: Map<string, Reported>;
+  readonly returnedLeases: Map<string, ReturnedLease>;
+  reports: Map<string, FailureReport>;
 }
 
-/** How long a primary must give no sign before a proxy's report counts. */
+/** How long a primary must be silent before a proxy's report of it counts. */
 export interface ReportThresholds {
   readonly silenceMs: number;
   readonly unconfirmedMs: number;
 }
 
 /**
- * The control leader's side of term leases: what it granted to each proxy and
- * what each proxy handed back. It starts empty with each leader; what an
- * earlier leader granted is bounded by when this one began.
+ * Term leases that the control leader granted to proxies, and those that were
+ * returned. Each leader starts with none; leases of earlier leaders expire
+ * within the lease time after it was elected.
  */
 export class LeaseRegistry {
   private readonly proxies = new Map<string, ProxyState>();
 
-  constructor(private readonly limits: ReportThresholds) {}
+  constructor(private readonly thresholds: ReportThresholds) {}
 
-  /** Takes in what a proxy says with its question for a lease. */
-  onRequest(proxy: ProxyRecord, ask: LeaseRequest, now: number): void {
+  /** Records what a proxy reports in its lease request. */
+  onRequest(proxy: ProxyRecord, request: LeaseRequest, now: number): void {
     const state = this.stateOf(proxy);
     state.attached = true;
-    state.heardAt = now;
-    state.settingsVersion = ask.settingsVersion;
-    for (const {service, belowTerm, highest} of ask.handBacks) {
-      const earlier = state.handBacks.get(service);
+    state.lastHeardAt = now;
+    state.settingsVersion = request.settingsVersion;
+    for (const {service, belowTerm, highest} of request.handBacks) {
+      const earlier = state.returnedLeases.get(service);
       if (earlier && earlier.belowTerm > belowTerm) continue;
-      state.handBacks.set(service, {belowTerm, highest});
+      state.returnedLeases.set(service, {
+        belowTerm,
+        highestAcknowledged: highest,
+      });
     }
-    state.reports = this.reportsOf(ask);
+    state.reports = this.reportsOf(request);
   }
 
   onGranted(proxy: ProxyRecord, now: number): void {
-    this.stateOf(proxy).lastGrantAt = now;
+    this.stateOf(proxy).lastGrantedAt = now;
   }
 
   onDetached(proxy: ProxyRecord): void {
@@ -74,47 +77,47 @@
     return this.proxies.get(proxyName(proxy))?.settingsVersion ?? 0;
   }
 
-  /** When a proxy was last heard of, -Infinity for never. */
+  /** When the proxy last sent a request; -Infinity if it never did. */
   lastHeardAt(proxy: ProxyRecord): number {
-    return this.proxies.get(proxyName(proxy))?.heardAt ?? -Infinity;
+    return this.proxies.get(proxyName(proxy))?.lastHeardAt ?? -Infinity;
   }
 
   forget(proxy: ProxyRecord): void {
     this.proxies.delete(proxyName(proxy));
   }
 
-  /** What a decision about a service needs to know of a proxy. */
+  /** The state of a proxy from which failover of a service is decided. */
   viewOf(proxy: ProxyRecord, service: string, now: number): ProxyView {
     const state = this.stateOf(proxy);
-    const handedBack = state.handBacks.get(service);
-    const reported = state.reports.get(service);
+    const returned = state.returnedLeases.get(service);
+    const report = state.reports.get(service);
     return {
       id: proxyName(proxy),
       attached: this.isFresh(state, now),
-      lastGrantAt: state.lastGrantAt,
-      handedBackBelow: handedBack?.belowTerm ?? 0,
-      highestAcknowledged: handedBack?.highest,
-      reportsLostTerm: reported?.lostTerm ?? 0,
-      reportsUnconfirmedTerm: reported?.unconfirmedTerm ?? 0,
+      lastGrantedAt: state.lastGrantedAt,
+      returnedBelow: returned?.belowTerm ?? 0,
+      highestAcknowledged: returned?.highestAcknowledged,
+      unreachableTerm: report?.unreachableTerm ?? 0,
+      unconfirmedTerm: report?.unconfirmedTerm ?? 0,
     };
   }
 
   private isFresh(state: ProxyState, now: number): boolean {
-    return state.attached && now - state.heardAt < DETACHED_MS;
+    return state.attached && now - state.lastHeardAt < ATTACHED_TIMEOUT_MS;
   }
 
-  private reportsOf(ask: LeaseRequest): Map<string, Reported> {
-    const {silenceMs, unconfirmedMs} = this.limits;
+  private reportsOf(request: LeaseRequest): Map<string, FailureReport> {
+    const {silenceMs, unconfirmedMs} = this.thresholds;
     return new Map(
-      ask.suspicions.map(suspicion => {
+      request.suspicions.map(suspicion => {
         const {service, term, refused} = suspicion;
-        const lost = refused || suspicion.silentMs >= silenceMs;
-        const unconfirmed = suspicion.unconfirmedMs >= unconfirmedMs;
+        const isUnreachable = refused || suspicion.silentMs >= silenceMs;
+        const isUnconfirmed = suspicion.unconfirmedMs >= unconfirmedMs;
         return [
           service,
           {
-            lostTerm: lost ? term : 0,
-            unconfirmedTerm: unconfirmed ? term : 0,
+            unreachableTerm: isUnreachable ? term : 0,
+            unconfirmedTerm: isUnconfirmed ? term : 0,
           },
         ];
       }),
@@ -126,11 +129,11 @@
     const known = this.proxies.get(name);
     if (known) return known;
     const state: ProxyState = {
-      lastGrantAt: -Infinity,
-      heardAt: -Infinity,
+      lastGrantedAt: -Infinity,
+      lastHeardAt: -Infinity,
       attached: false,
       settingsVersion: 0,
-      handBacks: new Map(),
+      returnedLeases: new Map(),
       reports: new Map(),
     };
     this.proxies.set(name, state);
@@ -138,7 +141,7 @@
   }
 }
 
-/** A proxy's instance and run, as one name. */
+/** Names one incarnation of a proxy. */
 export function proxyName({instance, incarnation}: ProxyRecord): string {
   return `${instance}#${incarnation}`;
 }
--- a/src/services/lease/common/published_primaries.ts
+++ b/src/services/lease/common/published_primaries.ts
@@ -1,63 +1,65 @@
 import type {PrimaryAssignment} from '../../../schema/generated/fleet';
 
-interface Notice {
-  readonly lead: PrimaryAssignment;
+interface PublishedAssignment {
+  readonly assignment: PrimaryAssignment;
   readonly revision: number;
 }
 
-/** Who leads which service, as the leader of control tells its proxies. */
+/** Primary assignments that the control leader publishes to its proxies. */
 export class PublishedPrimaries {
-  private readonly notices = new Map<string, Notice>();
-  private changes = 0;
+  private readonly published = new Map<string, PublishedAssignment>();
+  private changeCount = 0;
 
   /** Increases with each change. */
   get revision(): number {
-    return this.changes;
+    return this.changeCount;
   }
 
-  /** What changed after a revision. */
+  /** Assignments that changed after a revision. */
   changedSince(revision: number): PrimaryAssignment[] {
-    if (revision === this.changes) return [];
-    return [...this.notices.values()]
-      .filter(notice => notice.revision > revision)
-      .map(({lead}) => lead);
+    if (revision === this.changeCount) return [];
+    return [...this.published.values()]
+      .filter(entry => entry.revision > revision)
+      .map(({assignment}) => assignment);
   }
 
   /**
-   * Takes a lead of the control log; nothing changes at a known epoch.
+   * Publishes an assignment of the control log unless its promotion is pending.
    *
-   * Guard: one whose order may not have been carried out is not told yet. A
-   * proxy would send reads to the heir while that is still a replica; it led
-   * by the time it was asked behind the read, and the read was of a log that
-   * it had not applied.
+   * Guard: proxies would send reads to a successor that is still a replica. It
+   * could be the primary by the time they check its role, and the read would
+   * miss commits that it had not applied.
    */
-  offer(lead: PrimaryAssignment): void {
-    if (!lead.pending) this.publish(lead);
+  offer(assignment: PrimaryAssignment): void {
+    if (!assignment.pending) this.publish(assignment);
   }
 
-  /** Takes a lead of the control log whose member was seen to lead. */
-  publish(lead: PrimaryAssignment): void {
-    const known = this.notices.get(lead.service)?.lead;
-    if (!known || lead.epoch > known.epoch) this.put(lead);
+  /** Publishes an assignment that took effect; a known epoch is ignored. */
+  publish(assignment: PrimaryAssignment): void {
+    const known = this.published.get(assignment.service)?.assignment;
+    if (!known || assignment.epoch > known.epoch) this.put(assignment);
   }
 
-  /** From now on nobody may rely on the lead of a service. */
+  /** Makes the proxies return their leases on the primary of a service. */
   revoke(service: string): void {
-    const known = this.notices.get(service)?.lead;
+    const known = this.published.get(service)?.assignment;
     if (known && known.instance !== '') this.put({...known, instance: ''});
   }
 
-  /** Whether proxies were told to rely on nobody. */
+  /** Whether leases on the primary of a service are revoked. */
   isRevoked(service: string): boolean {
-    return this.notices.get(service)?.lead.instance === '';
+    return this.published.get(service)?.assignment.instance === '';
   }
 
-  /** The epoch that proxies know, 0 before the first. */
+  /** The published epoch; 0 before the first. */
   epochOf(service: string): number {
-    return this.notices.get(service)?.lead.epoch ?? 0;
+    return this.published.get(service)?.assignment.epoch ?? 0;
   }
 
-  private put(lead: PrimaryAssignment): void {
-    this.notices.set(lead.service, {lead, revision: ++this.changes});
+  private put(assignment: PrimaryAssignment): void {
+    this.published.set(assignment.service, {
+      assignment,
+      revision: ++this.changeCount,
+    });
   }
 }
--- a/src/services/lease/common/term_lease.ts
+++ b/src/services/lease/common/term_lease.ts
@@ -2,45 +2,45 @@
 import {laterPosition, type Position} from '../../position/common/position';
 
 /**
- * A proxy's side of one term lease: whether it may acknowledge a write.
+ * A proxy's lease on one term, without which it acknowledges no write.
  *
- * Guard against a replaced primary's write being acknowledged: the lease is
- * counted from when the proxy asked, which lies before the majority's
- * confirmation, so it ends before control begins another term.
+ * Guard: no write of a replaced primary may be acknowledged. The lease counts
+ * from the proxy's request, before the majority confirmed the leader, so it
+ * expires before control begins another term.
  */
 export class TermLease {
-  private held = 0;
+  private leasedTerm = 0;
   private expiresAt = -Infinity;
   private highest: Position | undefined;
 
   constructor(private readonly clock: Clock) {}
 
-  /** The time that the lease is counted on, in milliseconds. */
+  /** Time of the clock that the lease is measured on, in milliseconds. */
   now(): number {
     return this.clock.now();
   }
 
-  /** The term that the lease is on, 0 for none. */
+  /** The leased term; 0 for none. */
   get term(): number {
-    return this.held;
+    return this.leasedTerm;
   }
 
-  /** The highest position acknowledged by this proxy, ever. */
+  /** The highest position that this proxy has acknowledged. */
   get highestAcknowledged(): Position | undefined {
     return this.highest;
   }
 
-  extend(term: number, askedAt: number, leaseMs: number): void {
-    if (term < this.held) return;
-    if (term > this.held) this.expiresAt = -Infinity;
-    this.held = term;
-    this.expiresAt = Math.max(this.expiresAt, askedAt + leaseMs);
+  extend(term: number, requestedAt: number, leaseMs: number): void {
+    if (term < this.leasedTerm) return;
+    if (term > this.leasedTerm) this.expiresAt = -Infinity;
+    this.leasedTerm = term;
+    this.expiresAt = Math.max(this.expiresAt, requestedAt + leaseMs);
   }
 
-  /** Gives up every lease on a term below this one, for good. */
+  /** Returns all leases on lower terms for good. */
   returnBelow(term: number): void {
-    if (term <= this.held) return;
-    this.held = term;
+    if (term <= this.leasedTerm) return;
+    this.leasedTerm = term;
     this.expiresAt = -Infinity;
   }
 
@@ -48,12 +48,12 @@
     return this.expiredForMs(term, now) < 0;
   }
 
-  /** For how long the lease on a term has been over, in milliseconds. */
+  /** Time since the lease on a term expired, in milliseconds. */
   expiredForMs(term: number, now: number): number {
-    return this.held === term ? now - this.expiresAt : Infinity;
+    return this.leasedTerm === term ? now - this.expiresAt : Infinity;
   }
 
-  /** Notes an acknowledgement; false where the lease does not allow it. */
+  /** Records an acknowledgement; false if the lease does not allow it. */
   acknowledge(position: Position, now: number): boolean {
     if (!this.isHeld(position.term, now)) return false;
     this.highest = this.highest
--- a/src/services/lease/test/common/lease_fixture.ts
+++ b/src/services/lease/test/common/lease_fixture.ts
@@ -3,7 +3,7 @@
 import type {PrimaryAssignment} from '../../../../schema/generated/fleet';
 import {PrimaryLeases, RENEWAL_INTERVAL_MS} from '../../common/primary_leases';
 
-/** A lead of the service "books". */
+/** Makes an assignment that has taken effect. */
 export function makeAssignment(
   instance: string,
   epoch: number,
@@ -12,7 +12,7 @@
   return {service, instance, epoch, pending: false};
 }
 
-/** Leases that control renews on time until the signal aborts. */
+/** Makes leases that are renewed on time until the signal aborts. */
 export function makeRenewedLeases(
   clock: Clock,
   signal: AbortSignal,
@@ -22,7 +22,7 @@
   return leases;
 }
 
-/** Asks for leases and gets them at once. */
+/** Renews all leases without delay. */
 export function renew(leases: PrimaryLeases): void {
   leases.onRenewed(leases.beginRenewal());
 }
--- a/src/services/lease/test/common/lease_promise.test.ts
+++ b/src/services/lease/test/common/lease_promise.test.ts
@@ -2,23 +2,21 @@
 import {SeededRandom} from '../../../../base/common/random';
 import {LeaseSimulation} from './lease_simulation';
 
-const SCHEDULES = 60;
-const STEPS = 3_000;
+const SEED_COUNT = 60;
+const STEP_COUNT = 3_000;
 
-it('never leaves a lease on a lead that was replaced', () => {
-  // A dock shows a boat that was booked elsewhere, or a booking that was
-  // confirmed is gone: some proxy still relied on the old primary when the
-  // next one was ordered to lead. Proxies freeze, follow old leaders and none,
-  // messages are late and streams end, and control's leader changes at any moment.
-  let orders = 0;
+it('never leaves a lease on a replaced primary', () => {
+  // Guards against stale reads of an old primary. Proxies are suspended, follow
+  // old leaders or none, messages are late, streams end and leaders change.
+  let promotionCount = 0;
   let held = 0;
-  for (let seed = 1; seed <= SCHEDULES; seed++) {
-    const world = new LeaseSimulation(new SeededRandom(seed));
-    for (let step = 0; step < STEPS; step++) world.step();
-    expect(world.faults, `seed ${seed}`).toEqual([]);
-    orders += world.orders;
-    held += world.held;
+  for (let seed = 1; seed <= SEED_COUNT; seed++) {
+    const simulation = new LeaseSimulation(new SeededRandom(seed));
+    for (let step = 0; step < STEP_COUNT; step++) simulation.step();
+    expect(simulation.violations, `seed ${seed}`).toEqual([]);
+    promotionCount += simulation.promotionCount;
+    held += simulation.heldCount;
   }
-  expect(orders).toBeGreaterThan(SCHEDULES * 5);
-  expect(held).toBeGreaterThan(SCHEDULES * STEPS * 0.1);
+  expect(promotionCount).toBeGreaterThan(SEED_COUNT * 5);
+  expect(held).toBeGreaterThan(SEED_COUNT * STEP_COUNT * 0.1);
 });
--- a/src/services/lease/test/common/lease_simulation.ts
+++ b/src/services/lease/test/common/lease_simulation.ts
@@ -7,17 +7,16 @@
 import {makeAssignment} from './lease_fixture';
 
 const SERVICE = 'books';
-const PROXIES = 4;
-const MOST_DELAY_MS = 400;
-/** Clocks of machines run apart by this part at most. */
-const DRIFT = 0.001;
+const PROXY_COUNT = 4;
+const MAX_DELAY_MS = 400;
+const MAX_CLOCK_DRIFT_FRACTION = 0.001;
 
-/** A proxy on a clock of its own; frozen ones handle nothing for a while. */
+/** A proxy with its own clock; it handles nothing while it is frozen. */
 class Proxy {
   readonly leases: PrimaryLeases;
-  follows: Leader | undefined;
+  leader: Leader | undefined;
   frozenUntil = 0;
-  nextAsk = 0;
+  nextRenewalAt = 0;
   /** Increases with each stream to a leader. */
   stream = 0;
 
@@ -29,11 +28,11 @@
   }
 }
 
-/** An instance of control that leads, or believes that it still does. */
+/** A control instance that is the leader, or still believes so. */
 class Leader {
-  readonly board = new PublishedPrimaries();
+  readonly primaries = new PublishedPrimaries();
   readonly holders: LeaseHolders;
-  readonly told = new Map<Proxy, number>();
+  readonly sentRevisions = new Map<Proxy, number>();
   isReplacing = false;
 
   constructor(
@@ -50,25 +49,25 @@
 }
 
 /**
- * Proxies and one leader of control after the other, joined by messages that
- * are late. Streams end at any moment. Time goes in steps; nothing has a socket or a timer.
+ * Simulates proxies and successive control leaders with delayed messages and
+ * streams that end at any moment. Time advances in steps, without timers.
  */
 export class LeaseSimulation {
   now = 0;
-  readonly faults: string[] = [];
-  orders = 0;
-  /** Times at which some proxy held a lease. */
-  held = 0;
-  /** The lead that a majority of the control log holds. */
-  private lead: PrimaryAssignment = makeAssignment('m0', 1);
+  readonly violations: string[] = [];
+  promotionCount = 0;
+  /** How often a check found a proxy with a lease on the current epoch. */
+  heldCount = 0;
+  /** The committed assignment. */
+  private assignment: PrimaryAssignment = makeAssignment('m0', 1);
   private leader: Leader;
   private readonly leaders: Leader[] = [];
   private readonly proxies: Proxy[];
   private messages: Message[] = [];
 
   constructor(private readonly random: SeededRandom) {
-    this.proxies = Array.from({length: PROXIES}, (...[, at]) => {
-      const pace = 1 + (random.fraction() * 2 - 1) * DRIFT;
+    this.proxies = Array.from({length: PROXY_COUNT}, (...[, at]) => {
+      const pace = 1 + (random.fraction() * 2 - 1) * MAX_CLOCK_DRIFT_FRACTION;
       const offset = random.integer(0, 1_000_000);
       return new Proxy(`p${at}`, {now: () => offset + this.now * pace});
     });
@@ -77,7 +76,7 @@
 
   step(): void {
     this.now += this.random.integer(1, 20);
-    this.disturb();
+    this.injectFaults();
     this.deliver();
     for (const proxy of this.proxies) this.tickProxy(proxy);
     for (const leader of this.leaders) this.tickLeader(leader);
@@ -86,13 +85,13 @@
 
   private elect(): Leader {
     const leader = new Leader(this.now, this.leaders.length);
-    leader.board.offer(this.lead);
+    leader.primaries.offer(this.assignment);
     this.leaders.push(leader);
     this.leader = leader;
     return leader;
   }
 
-  private disturb(): void {
+  private injectFaults(): void {
     const {random} = this;
     if (random.integer(0, 299) === 0) this.elect();
     if (random.integer(0, 99) === 0) {
@@ -103,25 +102,25 @@
     if (random.integer(0, 99) === 0) this.leader.isReplacing = true;
   }
 
-  /** Moves a proxy to some leader, of the past or the present, or to none. */
+  /** Attaches a proxy to a random leader, old or current, or to none. */
   private attach(proxy: Proxy): void {
     proxy.leases.onDidDetach();
     proxy.stream++;
-    const isLost = this.random.integer(0, 3) === 0;
-    proxy.follows = isLost ? undefined : this.random.pick(this.leaders);
-    proxy.follows?.told.set(proxy, 0);
+    const isDetached = this.random.integer(0, 3) === 0;
+    proxy.leader = isDetached ? undefined : this.random.pick(this.leaders);
+    proxy.leader?.sentRevisions.set(proxy, 0);
   }
 
-  /** Messages of one pair keep their order, as on a stream. */
+  /** Messages of one sender keep their order, as on a stream. */
   private send(from: Proxy | Leader, run: () => void): void {
-    const delay = this.random.integer(0, MOST_DELAY_MS);
-    const last = this.lastAt.get(from) ?? 0;
+    const delay = this.random.integer(0, MAX_DELAY_MS);
+    const last = this.lastDeliveryAt.get(from) ?? 0;
     const at = Math.max(last, this.now + delay);
-    this.lastAt.set(from, at);
+    this.lastDeliveryAt.set(from, at);
     this.messages.push({at, run});
   }
 
-  private readonly lastAt = new Map<Proxy | Leader, number>();
+  private readonly lastDeliveryAt = new Map<Proxy | Leader, number>();
 
   private deliver(): void {
     const due = this.messages.filter(({at}) => at <= this.now);
@@ -129,8 +128,8 @@
     for (const {run} of due.sort((a, b) => a.at - b.at)) run();
   }
 
-  /** What reaches a frozen proxy waits for it; a stream that ends is lost. */
-  private toProxy(proxy: Proxy, leader: Leader, run: () => void): void {
+  /** Messages to a frozen proxy wait; those of an ended stream are lost. */
+  private sendToProxy(proxy: Proxy, leader: Leader, run: () => void): void {
     const {stream} = proxy;
     const arrive = () => {
       if (proxy.stream !== stream) return;
@@ -144,35 +143,37 @@
   }
 
   private tickProxy(proxy: Proxy): void {
-    const {follows} = proxy;
-    if (!follows || this.now < proxy.frozenUntil) return;
-    if (this.now < proxy.nextAsk) return;
-    proxy.nextAsk = this.now + RENEWAL_INTERVAL_MS;
+    const {leader} = proxy;
+    if (!leader || this.now < proxy.frozenUntil) return;
+    if (this.now < proxy.nextRenewalAt) return;
+    proxy.nextRenewalAt = this.now + RENEWAL_INTERVAL_MS;
     const number = proxy.leases.beginRenewal();
-    this.send(proxy, () => this.onAsk(follows, proxy, number));
+    this.send(proxy, () => this.onRequest(leader, proxy, number));
   }
 
-  private onAsk(leader: Leader, proxy: Proxy, number: number): void {
-    if (!leader.told.has(proxy)) return;
+  private onRequest(leader: Leader, proxy: Proxy, number: number): void {
+    if (!leader.sentRevisions.has(proxy)) return;
     const confirmMs = this.random.integer(5, 200);
     this.messages.push({
       at: this.now + confirmMs,
       run: () => {
-        // Only the one that a majority follows is confirmed.
+        // A majority only confirms the current leader.
         if (leader !== this.leader) return;
         leader.holders.onRenewed(proxy.name, this.now);
-        this.toProxy(proxy, leader, () => proxy.leases.onRenewed(number));
+        this.sendToProxy(proxy, leader, () => proxy.leases.onRenewed(number));
       },
     });
   }
 
   private tickLeader(leader: Leader): void {
-    for (const [proxy, revision] of leader.told) {
-      const leads = leader.board.changedSince(revision);
-      if (leads.length === 0) continue;
-      leader.told.set(proxy, leader.board.revision);
-      this.toProxy(proxy, leader, () => {
-        for (const {service, epoch} of proxy.leases.onAssignments(leads)) {
+    for (const [proxy, revision] of leader.sentRevisions) {
+      const assignments = leader.primaries.changedSince(revision);
+      if (assignments.length === 0) continue;
+      leader.sentRevisions.set(proxy, leader.primaries.revision);
+      this.sendToProxy(proxy, leader, () => {
+        for (const {service, epoch} of proxy.leases.onAssignments(
+          assignments,
+        )) {
           this.send(proxy, () => {
             leader.holders.onReturned(proxy.name, service, epoch);
           });
@@ -183,24 +184,29 @@
   }
 
   private replace(leader: Leader): void {
-    leader.board.revoke(SERVICE);
-    const epoch = leader.board.epochOf(SERVICE);
-    const relying = leader.holders.holdersOf(SERVICE, epoch, this.now);
-    // A decision is in the log only once a majority has it.
-    if (relying.length > 0 || leader !== this.leader) return;
+    leader.primaries.revoke(SERVICE);
+    const epoch = leader.primaries.epochOf(SERVICE);
+    const leaseHolders = leader.holders.holdersOf(SERVICE, epoch, this.now);
+    // Only the current leader can commit a decision.
+    if (leaseHolders.length > 0 || leader !== this.leader) return;
     leader.isReplacing = false;
-    this.orders++;
-    this.lead = makeAssignment(`m${this.orders}`, this.lead.epoch + 1);
-    leader.board.offer(this.lead);
+    this.promotionCount++;
+    this.assignment = makeAssignment(
+      `m${this.promotionCount}`,
+      this.assignment.epoch + 1,
+    );
+    leader.primaries.offer(this.assignment);
   }
 
   private check(): void {
     for (const {name, leases} of this.proxies) {
-      const {epoch} = this.lead;
-      if (leases.isHeld(SERVICE, epoch)) this.held++;
+      const {epoch} = this.assignment;
+      if (leases.isHeld(SERVICE, epoch)) this.heldCount++;
       for (let old = 1; old < epoch; old++) {
         if (!leases.isHeld(SERVICE, old)) continue;
-        this.faults.push(`${this.now}: ${name} holds ${old}, ${epoch} leads`);
+        this.violations.push(
+          `${this.now}: ${name} holds ${old}, ${epoch} is current`,
+        );
       }
     }
   }
--- a/src/services/lease/test/common/primary_leases.test.ts
+++ b/src/services/lease/test/common/primary_leases.test.ts
@@ -10,10 +10,10 @@
   return {clock, leases};
 }
 
-describe('leases on leads', () => {
-  it('last from the question, however late the answer', () => {
-    // A proxy asks, freezes, and finds the answer when it wakes up. Counted
-    // from the answer, it would rely on a primary that was replaced meanwhile.
+describe('PrimaryLeases', () => {
+  it('counts a lease from its request, however late the reply', () => {
+    // Guards against a suspended proxy that reads a late reply and then holds a
+    // lease on a primary that was replaced meanwhile.
     const {clock, leases} = setUp();
     const number = leases.beginRenewal();
     clock.advance(LEASE_MS - 1);
@@ -23,7 +23,7 @@
     expect(leases.isHeld('books', 7)).toBe(false);
   });
 
-  it('are returned where control names nobody, and stay so', () => {
+  it('returns a lease when it is revoked, and does not renew it', () => {
     const {leases} = setUp();
     renew(leases);
     const returned = leases.onAssignments([makeAssignment('', 7)]);
@@ -32,10 +32,9 @@
     expect(leases.isHeld('books', 7)).toBe(false);
   });
 
-  it('are not taken up again at an epoch that was returned', () => {
-    // Control revokes a lead, its leader changes, and the new one has not
-    // heard of that: it names the same epoch. It must learn that this proxy
-    // relies no more on it, or it would wait for the proxy in vain.
+  it('returns an epoch again that it had returned to an earlier leader', () => {
+    // Guards against a new leader that waits in vain for a lease which this
+    // proxy returned to the previous leader.
     const {leases} = setUp();
     leases.onAssignments([makeAssignment('', 7)]);
     expect(leases.onAssignments([makeAssignment('m1', 7)])).toEqual([
@@ -48,7 +47,7 @@
     expect(leases.isHeld('books', 9)).toBe(true);
   });
 
-  it('do not pass from one lead to the next', () => {
+  it('does not carry a lease over to the next epoch', () => {
     const {leases} = setUp();
     renew(leases);
     leases.onAssignments([makeAssignment('m2', 8)]);
@@ -58,9 +57,9 @@
     expect(leases.isHeld('books', 8)).toBe(true);
   });
 
-  it('come by no leader that did not name the lead itself', () => {
-    // A proxy follows an old leader and then the next one, under which another
-    // member leads. The answer to its question overtakes that news.
+  it('renews no lease that the current leader has not published', () => {
+    // Guards against a renewal by a new leader that arrives before its
+    // assignment of another primary.
     const {leases} = setUp();
     leases.onDidDetach();
     renew(leases);
@@ -70,7 +69,7 @@
     expect(leases.isHeld('books', 7)).toBe(true);
   });
 
-  it('come by no answer to a question on an earlier stream', () => {
+  it('ignores the reply to a request on an earlier stream', () => {
     const {leases} = setUp();
     const number = leases.beginRenewal();
     leases.onDidDetach();
@@ -78,7 +77,7 @@
     expect(leases.isHeld('books', 7)).toBe(false);
   });
 
-  it('answer whoever waits, either way', async () => {
+  it('resolves waiters on renewal, revocation and timeout', async () => {
     const {leases} = setUp();
     const renewed = leases.waitUntilHeld('books', 7, 1_000);
     renew(leases);
