--- a/src/services/failover/common/failover.ts
+++ b/src/services/failover/common/failover.ts
@@ -10,18 +10,18 @@
 import {hasLeaseEnded} from '../../lease/common/lease_expiry';
 import type {FailoverAction, FailoverView, TargetView} from './failover_view';
 
-/** Replicas must miss their primary for this many silences to convict it. */
-const UPSTREAM_PATIENCE = 2;
-/** In a planned change replicas are waited for this long, in milliseconds. */
-const HANDOVER_MS = 1_500;
-/** Least time from a primary's choice to a planned change, in milliseconds. */
-const PLANNED_PAUSE_MS = 2_000;
+/** Replicas count as disconnected after this many maximum silences. */
+const UPSTREAM_LOST_FACTOR = 2;
+/** How long a planned change waits for replicas to catch up. */
+const SWITCHOVER_TIMEOUT_MS = 1_500;
+/** Minimum time from a change of primary to the next planned one. */
+const MIN_PLANNED_INTERVAL_MS = 2_000;
 
 /**
- * Decides what the control leader does next for one service.
+ * Decides the next actions of the control leader for one service.
  *
- * Pure and without memory: the same view gives the same actions, so a new
- * leader goes on where the last one stopped.
+ * The function is pure: equal views give equal actions, so a new leader
+ * continues where the previous one stopped.
  */
 export function decideFailover(view: FailoverView): FailoverAction[] {
   switch (view.record.phase) {
@@ -35,113 +35,114 @@
 }
 
 function decideForming(view: FailoverView): FailoverAction[] {
-  const present = view.targets.filter(target => target.connected);
-  if (present.length < view.memberCount) return [];
-  return [begin(view, 'the group is complete', false)];
+  const connected = view.targets.filter(target => target.connected);
+  if (connected.length < view.memberCount) return [];
+  return [beginChange(view, 'the group is complete', false)];
 }
 
 // ---- A service with a primary ----
 
 function decideSteady(view: FailoverView): FailoverAction[] {
   const cause = findLossCause(view);
-  if (cause) return [begin(view, cause, false)];
-  const planned = causeOfPlannedChange(view);
-  if (planned) return [begin(view, planned, true)];
-  return view.targets.flatMap(target => tend(view, target));
+  if (cause) return [beginChange(view, cause, false)];
+  const planned = findPlannedCause(view);
+  if (planned) return [beginChange(view, planned, true)];
+  return view.targets.flatMap(target => reconcile(view, target));
 }
 
-/** Why the primary must be replaced at once, or undefined. */
+/** Finds why the primary must be replaced at once; undefined if it need not. */
 export function findLossCause(view: FailoverView): string | undefined {
   const primary = primaryOf(view);
   const {primaryIncarnation} = view.record;
-  // A process that was started again has lost what it held in memory, and
-  // its promises with it: under its old name it would lead an empty log.
+  // A restarted process has lost its data and its promised term; as the same
+  // primary it would continue with an empty log.
   const status = primary?.status;
   if (primary?.connected && status?.incarnation !== primaryIncarnation) {
     return 'the primary was started again';
   }
-  if (isLostToMajority(view, primary)) {
+  if (isLostForMajority(view, primary)) {
     return 'the primary is unreachable for a majority of observers';
   }
-  if (isCutFromReplicas(view)) {
+  if (isDisconnectedFromReplicas(view)) {
     return 'the primary is cut off from its replicas';
   }
   return undefined;
 }
 
 /**
- * A single observer with a bad link must not cause a change: the control
- * leader and the attached proxies vote.
+ * Whether the control leader and the attached proxies, as observers, report the
+ * loss by majority. A single observer with a bad connection causes no change.
  */
-function isLostToMajority(
+function isLostForMajority(
   view: FailoverView,
   primary: TargetView | undefined,
 ): boolean {
   const observers = view.proxies.filter(proxy => proxy.attached);
-  const against = observers.filter(proxy => {
+  const reports = observers.filter(proxy => {
     return proxy.unreachableTerm === view.record.term;
   });
-  const own = isLostToControl(view, primary) ? 1 : 0;
-  return (against.length + own) * 2 > observers.length + 1;
+  const ownReport = isLostForControl(view, primary) ? 1 : 0;
+  return (reports.length + ownReport) * 2 > observers.length + 1;
 }
 
-function isLostToControl(
+function isLostForControl(
   view: FailoverView,
   primary: TargetView | undefined,
 ): boolean {
-  // A leader that has just started has seen nobody yet: it must not take its
-  // own ignorance for a loss.
+  // A new leader has received no status yet, which must not count as a loss.
   if (!primary?.status) return view.now - view.leaderSince >= view.maxSilenceMs;
   return !primary.connected || primary.silentMs >= view.maxSilenceMs;
 }
 
-function isCutFromReplicas(view: FailoverView): boolean {
+function isDisconnectedFromReplicas(view: FailoverView): boolean {
   if (view.requiredConfirmations === 0) return false;
   const replicas = view.targets.filter(target => {
     return target.connected && target.instance !== view.record.primary;
   });
   if (replicas.length < view.requiredConfirmations) return false;
-  const limit = view.maxSilenceMs * UPSTREAM_PATIENCE;
-  // Replicas miss their primary since the one before was lost. That is no
-  // fault of the new one: the time counts from when it was chosen.
-  if (view.phaseAgeMs < limit) return false;
-  const cut = replicas.filter(({upstreamLostMs}) => upstreamLostMs >= limit);
-  if (cut.length === replicas.length) return true;
+  const minLostMs = view.maxSilenceMs * UPSTREAM_LOST_FACTOR;
+  // Replicas may have been disconnected since the previous primary was lost.
+  // The time counts from when the current primary was chosen.
+  if (view.phaseAgeMs < minLostMs) return false;
+  const disconnected = replicas.filter(
+    ({upstreamLostMs}) => upstreamLostMs >= minLostMs,
+  );
+  if (disconnected.length === replicas.length) return true;
   const observers = view.proxies.filter(proxy => proxy.attached);
   const unconfirmed = observers.filter(proxy => {
     return proxy.unconfirmedTerm === view.record.term;
   });
-  return cut.length > 0 && unconfirmed.length * 2 > observers.length;
+  return disconnected.length > 0 && unconfirmed.length * 2 > observers.length;
 }
 
-function causeOfPlannedChange(view: FailoverView): string | undefined {
+function findPlannedCause(view: FailoverView): string | undefined {
   const primary = primaryOf(view);
   if (!primary?.status) return undefined;
-  // Where the best heir was the leaving primary itself, trying again at once
-  // would do nothing but interrupt.
-  if (view.phaseAgeMs < PLANNED_PAUSE_MS) return undefined;
-  const wanted = primary.draining || primary.status.leaving;
-  const heir = view.targets.some(target => {
-    return target !== primary && isHeir(view, target);
+  // If the last change chose the leaving primary again, an immediate retry
+  // would only interrupt the service.
+  if (view.phaseAgeMs < MIN_PLANNED_INTERVAL_MS) return undefined;
+  const isLeaving = primary.draining || primary.status.leaving;
+  const hasSuccessor = view.targets.some(target => {
+    return target !== primary && canSucceed(view, target);
   });
-  if (!wanted || !heir) return undefined;
+  if (!isLeaving || !hasSuccessor) return undefined;
   return primary.draining ? 'the primary is drained' : 'the primary leaves';
 }
 
-function isHeir(view: FailoverView, target: TargetView): boolean {
+function canSucceed(view: FailoverView, target: TargetView): boolean {
   const {connected, draining, status} = target;
   if (!connected || draining || !status || status.leaving) return false;
   return status.matchedTerm === view.record.term && status.upstreamConnected;
 }
 
-/** Brings a member into line with the term in force. */
-function tend(view: FailoverView, target: TargetView): FailoverAction[] {
+/** Makes a member follow the current term and primary. */
+function reconcile(view: FailoverView, target: TargetView): FailoverAction[] {
   const {status, connected, instance} = target;
   const {record} = view;
   if (!connected || !status) return [];
   if (instance === record.primary) {
-    const leads = status.role === Role.ROLE_PRIMARY;
-    if (leads && status.term === record.term) return [];
+    const isPrimary = status.role === Role.ROLE_PRIMARY;
+    if (isPrimary && status.term === record.term) return [];
     return [{kind: 'promote', instance}];
   }
   if (status.term >= record.term && status.upstreamConnected) return [];
@@ -156,76 +157,76 @@
 // ---- A service between two primaries ----
 
 function decideChanging(view: FailoverView): FailoverAction[] {
-  const isOver = haveLeasesEnded(view);
-  // A planned change lets running writes end on the old primary and replicas
-  // take them over: a fence before that would undo work for nothing.
-  if (view.record.planned && !(isOver && isHandedOver(view))) return [];
-  const actions: FailoverAction[] = fenceActions(view);
-  if (!isOver) return actions;
+  const haveEnded = haveLeasesEnded(view);
+  // In a planned change running writes complete on the old primary and are
+  // replicated first; an earlier fence would abort them needlessly.
+  if (view.record.planned && !(haveEnded && isSwitchoverReady(view))) return [];
+  const actions: FailoverAction[] = decideFences(view);
+  if (!haveEnded) return actions;
   actions.push({kind: 'closed'});
-  const holders = view.targets.filter(target => isHolder(view, target));
-  if (view.record.planned && !haveAllAnswered(view, holders)) return actions;
-  const safe = safetyOf(view, holders);
-  if ('reason' in safe) {
-    return [...actions, {kind: 'blocked', reason: safe.reason}];
+  const candidates = view.targets.filter(target => isCandidate(view, target));
+  if (view.record.planned && !haveAllReplied(view, candidates)) return actions;
+  const safety = checkSafety(view, candidates);
+  if ('reason' in safety) {
+    return [...actions, {kind: 'blocked', reason: safety.reason}];
   }
-  const heir = chooseHeir(preferred(view, holders));
-  if (!heir) return actions;
-  const {incarnation} = heir.status!;
+  const successor = chooseSuccessor(preferStaying(view, candidates));
+  if (!successor) return actions;
+  const {incarnation} = successor.status!;
   actions.push({
     kind: 'complete',
-    primary: heir.instance,
+    primary: successor.instance,
     incarnation,
-    base: logEnd(heir.status!),
-    inputs: `${safe.rule}; ${describeTargets(view)}`,
+    base: logEnd(successor.status!),
+    inputs: `${safety.rule}; ${describeTargets(view)}`,
   });
   return actions;
 }
 
-/** A replica holds all that the old primary does, or time is up. */
-function isHandedOver(view: FailoverView): boolean {
-  if (view.phaseAgeMs >= HANDOVER_MS) return true;
-  const old = view.targets.find(({status, connected}) => {
+/** Whether a replica has the whole log of the old primary, or time is up. */
+function isSwitchoverReady(view: FailoverView): boolean {
+  if (view.phaseAgeMs >= SWITCHOVER_TIMEOUT_MS) return true;
+  const oldPrimary = view.targets.find(({status, connected}) => {
     return connected && status?.role === Role.ROLE_PRIMARY;
   });
-  if (!old) return true;
-  const offset = old.status!.received?.offset ?? 0;
+  if (!oldPrimary) return true;
+  const offset = oldPrimary.status!.received?.offset ?? 0;
   return view.targets.some(target => {
     const {status} = target;
-    if (target === old || !status || !target.connected) return false;
+    if (target === oldPrimary || !status || !target.connected) return false;
     if (target.draining || status.leaving) return false;
     return (status.received?.offset ?? 0) >= offset;
   });
 }
 
-/** In a planned change there is time to hear every member. */
-function haveAllAnswered(
+/** Whether all connected members replied, for which a planned change waits. */
+function haveAllReplied(
   view: FailoverView,
-  holders: readonly TargetView[],
+  candidates: readonly TargetView[],
 ): boolean {
-  if (view.phaseAgeMs >= HANDOVER_MS) return true;
+  if (view.phaseAgeMs >= SWITCHOVER_TIMEOUT_MS) return true;
   const connected = view.targets.filter(target => target.connected);
-  return holders.length === connected.length;
+  return candidates.length === connected.length;
 }
 
 /**
- * Members that stay, where they alone would be enough to be safe; otherwise
- * all, since the newest log goes before an operator's wish.
+ * Prefers the members that are not leaving if they are enough to be safe.
+ * Otherwise returns all: the newest log takes precedence over draining.
  */
-function preferred(
+function preferStaying(
   view: FailoverView,
-  holders: readonly TargetView[],
+  candidates: readonly TargetView[],
 ): readonly TargetView[] {
-  const staying = holders.filter(holder => {
-    return !holder.draining && !holder.status!.leaving;
+  const staying = candidates.filter(candidate => {
+    return !candidate.draining && !candidate.status!.leaving;
   });
-  const counted = staying.filter(hasItsData);
-  const enough =
+  const counted = staying.filter(hasData);
+  const isEnough =
     counted.length >= view.memberCount - view.requiredConfirmations;
-  return enough ? staying : holders;
+  return isEnough ? staying : candidates;
 }
 
-function fenceActions(view: FailoverView): FailoverAction[] {
+function decideFences(view: FailoverView): FailoverAction[] {
   return view.targets
     .filter(({connected, status}) => {
       return connected && status && status.term < view.record.term;
@@ -233,68 +234,70 @@
     .map(({instance}) => ({kind: 'fence', instance}));
 }
 
-/** A member that has promised the new term and says what it holds. */
-function isHolder(view: FailoverView, target: TargetView): boolean {
+/** Whether a member promised the new term and reported its log. */
+function isCandidate(view: FailoverView, target: TargetView): boolean {
   const {status, connected} = target;
   if (!connected || !status) return false;
   return status.term === view.record.term && status.role === Role.ROLE_REPLICA;
 }
 
 /**
- * Guard against two primaries that both acknowledge: the new term begins only
- * when each registered proxy has handed its lease back or cannot hold one any
- * more. A leader that is new waits out what the one before may have granted.
+ * Guard: two primaries must not both acknowledge writes. A new term begins only
+ * when every registered proxy has returned its lease or it has expired; a new
+ * leader also waits for leases that the previous one may have granted.
  */
 export function haveLeasesEnded(view: FailoverView): boolean {
-  const {record, leaderSince, maxLeaseMs: boundMs, now} = view;
+  const {record, leaderSince, maxLeaseMs, now} = view;
   if (record.termStarts.length === 0) return true;
   return view.proxies.every(proxy => {
-    return hasLeaseEnded(
-      proxy,
-      record.term,
-      {leaderSince, maxLeaseMs: boundMs},
-      now,
-    );
+    return hasLeaseEnded(proxy, record.term, {leaderSince, maxLeaseMs}, now);
   });
 }
 
 type Safety = {readonly rule: string} | {readonly reason: string};
 
 /**
- * Guard against losing acknowledged writes. Such a write is on the primary and
- * on as many replicas as there are confirmations; so any set of members that
- * leaves out no more than that many meets it. A member that lost its data and
- * has not caught up since counts as left out. Fewer members do where every
- * proxy said what it acknowledged last and a member holds all of it.
+ * Guard: no acknowledged write may be lost. It is on the primary and on the
+ * required number of replicas, so at most that many members may be missing or
+ * without data, unless a member holds all that the proxies acknowledged.
  */
-function safetyOf(view: FailoverView, holders: readonly TargetView[]): Safety {
-  const first = view.record.termStarts.length === 0;
-  const counted = holders.filter(holder => first || hasItsData(holder));
-  const needed = view.memberCount - (first ? 0 : view.requiredConfirmations);
-  if (counted.length >= needed) {
+function checkSafety(
+  view: FailoverView,
+  candidates: readonly TargetView[],
+): Safety {
+  const isFirstTerm = view.record.termStarts.length === 0;
+  const counted = candidates.filter(
+    candidate => isFirstTerm || hasData(candidate),
+  );
+  const required =
+    view.memberCount - (isFirstTerm ? 0 : view.requiredConfirmations);
+  if (counted.length >= required) {
     return {rule: `${counted.length} of ${view.memberCount} members answered`};
   }
-  const heir = chooseHeir(counted);
-  if (!first && heir && holdsAllAcknowledged(view, heir)) {
+  const successor = chooseSuccessor(counted);
+  if (!isFirstTerm && successor && holdsAllAcknowledged(view, successor)) {
     return {rule: 'it holds all that any proxy acknowledged'};
   }
-  if (view.isForced && holders.length > 0) {
+  if (view.isForced && candidates.length > 0) {
     return {rule: 'an operator forced the change'};
   }
   const reason =
-    `${counted.length} of ${view.memberCount} members with their data answered, ` +
-    `${needed} are needed; bring a member back or force the change`;
+    `${counted.length} of ${view.memberCount} members with their data ` +
+    `answered, ${required} are needed; bring a member back or force the change`;
   return {reason};
 }
 
-/** A member that never lost its data, or has caught up since it did. */
-function hasItsData({status, firstIncarnation}: TargetView): boolean {
+/** Whether a member never lost its data, or has caught up since. */
+function hasData({status, firstIncarnation}: TargetView): boolean {
   const {matchedTerm, incarnation} = status!;
   return matchedTerm > 0 || incarnation === firstIncarnation;
 }
 
-function holdsAllAcknowledged(view: FailoverView, heir: TargetView): boolean {
-  const held = heldPosition(heir.status!);
+function holdsAllAcknowledged(
+  view: FailoverView,
+  successor: TargetView,
+): boolean {
+  const held = heldPosition(successor.status!);
   return view.proxies.every(proxy => {
     if (proxy.returnedBelow < view.record.term) return false;
     const highest = proxy.highestAcknowledged ?? ORIGIN_POSITION;
@@ -303,15 +306,17 @@
 }
 
 /**
- * The newest log wins: the one matched with the newest term, then the longest.
- * Not the one with the newest entry: an old primary may hold later entries of
- * its own than a newer term that wrote nothing, and they were given up.
+ * Chooses the log that was matched with the newest term, then the longest. The
+ * newest entry does not decide: an old primary may hold later entries that a
+ * newer term without writes has discarded.
  */
-function chooseHeir(holders: readonly TargetView[]): TargetView | undefined {
+function chooseSuccessor(
+  candidates: readonly TargetView[],
+): TargetView | undefined {
   const rank = ({status, draining}: TargetView) => {
     return draining || status!.leaving ? 1 : 0;
   };
-  return [...holders].sort((a, b) => {
+  return [...candidates].sort((a, b) => {
     const order = comparePositions(
       heldPosition(b.status!),
       heldPosition(a.status!),
@@ -326,7 +331,7 @@
   return view.targets.find(({instance}) => instance === view.record.primary);
 }
 
-function begin(
+function beginChange(
   view: FailoverView,
   cause: string,
   planned: boolean,
--- a/src/services/failover/common/failover_view.ts
+++ b/src/services/failover/common/failover_view.ts
@@ -4,58 +4,58 @@
 } from '../../../schema/generated/announcement';
 import type {ServiceRecord} from '../../../schema/generated/control';
 
-/** What the control leader sees of one member of a group. */
+/** State of one member of a service, as the control leader sees it. */
 export interface TargetView {
   readonly instance: string;
   readonly draining: boolean;
-  /** The run of its process when the group formed. */
+  /** Incarnation of its process when the service was formed. */
   readonly firstIncarnation: string;
-  /** An announcement stream is open. */
+  /** Whether its announcement stream is open. */
   readonly connected: boolean;
-  /** Since the last sign of life, in milliseconds. */
+  /** Time since the last message, in milliseconds. */
   readonly silentMs: number;
-  /** The last status; undefined before the first. */
+  /** The last announced status; undefined before the first. */
   readonly status: TargetStatus | undefined;
-  /** Since the replica lost its primary, 0 while it hears it. */
+  /** Time since a replica lost its primary, in ms; 0 while it is connected. */
   readonly upstreamLostMs: number;
 }
 
-/** What the control leader sees of one registered proxy. */
+/** State of one registered proxy, as the control leader sees it. */
 export interface ProxyView {
   readonly id: string;
   readonly attached: boolean;
   /** When a lease was last granted, on the leader's clock. */
   readonly lastGrantedAt: number;
-  /** The proxy's word that it holds no lease below this term. */
+  /** The proxy has returned all leases on terms below this one. */
   readonly returnedBelow: number;
-  /** The highest position it acknowledged, where it handed back. */
+  /** The highest position it acknowledged, if it returned a lease. */
   readonly highestAcknowledged: Position | undefined;
-  /** It reports the primary of this term as unreachable. */
+  /** Term whose primary it reports as unreachable; 0 for none. */
   readonly unreachableTerm: number;
-  /** It reports commits of this term that no replica confirms. */
+  /** Term of which it reports commits that no replica confirms; 0 for none. */
   readonly unconfirmedTerm: number;
 }
 
-/** Everything that a decision about one service is made from. */
+/** Input of a failover decision about one service. */
 export interface FailoverView {
   readonly record: ServiceRecord;
-  /** How many members the group has, by its settings. */
+  /** Number of members that the settings require. */
   readonly memberCount: number;
   readonly requiredConfirmations: number;
   readonly maxSilenceMs: number;
-  /** The longest that a lease can last on the leader's clock. */
+  /** Longest time that a lease can last on the leader's clock, in ms. */
   readonly maxLeaseMs: number;
   readonly now: number;
   readonly leaderSince: number;
-  /** How long this leader has known the service in its term and phase. */
+  /** How long this leader has seen the service in its term and phase, in ms. */
   readonly phaseAgeMs: number;
   readonly targets: readonly TargetView[];
   readonly proxies: readonly ProxyView[];
-  /** An operator took the risk of losing writes for this change. */
+  /** Whether an operator accepted the loss of writes for this change. */
   readonly isForced: boolean;
 }
 
-/** What the leader does next for a service. */
+/** An action of the control leader for a service. */
 export type FailoverAction =
   | {
       readonly kind: 'begin';
@@ -78,7 +78,7 @@
       readonly instance: string;
       readonly replicationAddress: string;
     }
-  /** Nobody can acknowledge a write of an earlier term any more. */
+  /** No proxy can acknowledge a write of an earlier term any more. */
   | {readonly kind: 'closed'}
-  /** The change cannot go on; why is for operators. */
+  /** The change cannot proceed; the reason is for operators. */
   | {readonly kind: 'blocked'; readonly reason: string};
--- a/src/services/failover/test/common/failover.test.ts
+++ b/src/services/failover/test/common/failover.test.ts
@@ -81,7 +81,7 @@
   });
 }
 
-const dead = (name: string) => target(name, {}, {connected: false});
+const disconnected = (name: string) => target(name, {}, {connected: false});
 const steady = () =>
   record({
     term: 1,
@@ -89,15 +89,15 @@
     primary: 'a',
     primaryIncarnation: 'later',
   });
-const leading = (parts: Partial<TargetView> = {}) =>
+const primary = (parts: Partial<TargetView> = {}) =>
   target('a', {role: Role.ROLE_PRIMARY, term: 1}, parts);
-const following = (name: string) => target(name, {term: 1});
+const replica = (name: string) => target(name, {term: 1});
 
 describe('the choice of a primary', () => {
-  it('takes the longest log among members that promised the term', () => {
+  it('takes the longest log of the members that promised the term', () => {
     const actions = decide({
       targets: [
-        dead('a'),
+        disconnected('a'),
         target('b', {received: {term: 1, offset: 10}}),
         target('c', {received: {term: 1, offset: 12}}),
       ],
@@ -108,10 +108,9 @@
     ]);
   });
 
-  // a led term 1 and holds writes that nobody acknowledged; b caught up with
-  // term 2, which wrote nothing. Taking a would bring back what was called
-  // "not run".
-  it('takes the one that caught up with the newest term', () => {
+  // Guards against writes that were reported as "not run" and reappear: a has
+  // discarded entries of term 1, b caught up with the empty term 2.
+  it('takes the member that caught up with the newest term', () => {
     const actions = decide({
       record: record({term: 3}),
       targets: [
@@ -122,18 +121,18 @@
           logTerm: 2,
           received: {term: 1, offset: 15},
         }),
-        dead('c'),
+        disconnected('c'),
       ],
     });
     expect(actions.at(-1)).toMatchObject({kind: 'complete', primary: 'b'});
   });
 
-  // b confirmed a lodgement, lost its disk and came back empty; then the
-  // primary died. c alone never had the lodgement.
+  // Guards against losing a write that only the failed primary and b had, after
+  // b was restarted without its data.
   it('does not count a member that lost its data and has not caught up', () => {
     const empty = {matchedTerm: 0, logTerm: 0, received: {term: 0, offset: 0}};
     const actions = decide({
-      targets: [dead('a'), target('b', empty), target('c', {})],
+      targets: [disconnected('a'), target('b', empty), target('c', {})],
       proxies: [proxy('p')],
     });
     expect(actions.at(-1)).toMatchObject({kind: 'blocked'});
@@ -145,50 +144,50 @@
     });
   });
 
-  it('is content with one that holds all that any proxy acknowledged', () => {
-    const handedBack = (offset: number) =>
+  it('accepts one member that holds all that any proxy acknowledged', () => {
+    const returned = (offset: number) =>
       proxy('p', {
         returnedBelow: 2,
         highestAcknowledged: {term: 1, offset},
       });
-    const targets = [dead('a'), dead('b'), target('c', {})];
-    const enough = decide({targets, proxies: [handedBack(10)]});
-    expect(enough.at(-1)).toMatchObject({kind: 'complete', primary: 'c'});
-    const lacking = decide({targets, proxies: [handedBack(11)]});
+    const targets = [disconnected('a'), disconnected('b'), target('c', {})];
+    const complete = decide({targets, proxies: [returned(10)]});
+    expect(complete.at(-1)).toMatchObject({kind: 'complete', primary: 'c'});
+    const lacking = decide({targets, proxies: [returned(11)]});
     expect(lacking.at(-1)).toMatchObject({kind: 'blocked'});
-    const forced = decide({targets, proxies: [handedBack(11)], isForced: true});
+    const forced = decide({targets, proxies: [returned(11)], isForced: true});
     expect(forced.at(-1)).toMatchObject({kind: 'complete', primary: 'c'});
   });
 
-  it('waits for leases: handed back, run out, or an earlier leader’s', () => {
-    const targets = [dead('a'), target('b', {}), target('c', {})];
+  it('waits until all leases are returned or expired', () => {
+    const targets = [disconnected('a'), target('b', {}), target('c', {})];
     const held = [proxy('p', {lastGrantedAt: 9_500})];
     expect(decide({targets, proxies: held})).toEqual([]);
-    const ranOut = [proxy('p', {lastGrantedAt: 9_200})];
-    expect(decide({targets, proxies: ranOut})).toHaveLength(2);
-    const newLeader = {leaderSince: 9_900, targets, proxies: ranOut};
+    const expired = [proxy('p', {lastGrantedAt: 9_200})];
+    expect(decide({targets, proxies: expired})).toHaveLength(2);
+    const newLeader = {leaderSince: 9_900, targets, proxies: expired};
     expect(decide(newLeader)).toEqual([]);
   });
 });
 
-describe('when a primary is replaced', () => {
-  const replicas = [following('b'), following('c')];
+describe('the replacement of a primary', () => {
+  const replicas = [replica('b'), replica('c')];
 
-  it('is left alone while it serves', () => {
-    const targets = [leading(), ...replicas];
+  it('does not begin while the primary serves', () => {
+    const targets = [primary(), ...replicas];
     expect(decide({record: steady(), targets})).toEqual([]);
   });
 
-  // The link between control and the primary's site fails. Every proxy still
-  // reaches the primary: a change would cost a gap and win nothing.
-  it('is not, for one observer with a bad link', () => {
-    const targets = [leading({connected: false}), ...replicas];
+  // Guards against a needless interruption when only control cannot reach the
+  // primary.
+  it('does not begin for one observer with a bad connection', () => {
+    const targets = [primary({connected: false}), ...replicas];
     const proxies = [proxy('p1'), proxy('p2'), proxy('p3')];
     expect(decide({record: steady(), targets, proxies})).toEqual([]);
   });
 
-  it('is, for a majority of control and proxies', () => {
-    const targets = [leading({silentMs: 600}), ...replicas];
+  it('begins for a majority of control and proxies', () => {
+    const targets = [primary({silentMs: 600}), ...replicas];
     const lost = {unreachableTerm: 1};
     const proxies = [proxy('p1', lost), proxy('p2', lost), proxy('p3')];
     expect(decide({record: steady(), targets, proxies})).toMatchObject([
@@ -196,38 +195,56 @@
     ]);
   });
 
-  // Control was restarted a moment ago and has heard of nobody yet.
-  it('is not, by a leader that has just begun', () => {
-    const unseen = {...dead('a'), status: undefined, silentMs: Infinity};
-    const view = {record: steady(), targets: [unseen, ...replicas]};
+  // Guards against a change by a new leader that has received no status yet.
+  it('does not begin before a new leader could receive a status', () => {
+    const unknown = {
+      ...disconnected('a'),
+      status: undefined,
+      silentMs: Infinity,
+    };
+    const view = {record: steady(), targets: [unknown, ...replicas]};
     expect(decide({...view, leaderSince: 9_900})).toEqual([]);
     expect(decide(view)).toMatchObject([{kind: 'begin'}]);
   });
 
-  // Callers' commits hang: the primary answers, but no replica hears it.
-  it('is, once all replicas miss it', () => {
-    const cut = replicas.map(view => ({...view, upstreamLostMs: 1_000}));
-    const actions = decide({record: steady(), targets: [leading(), ...cut]});
+  // Guards against commits that hang: the primary replies, but no replica is
+  // connected to it.
+  it('begins once all replicas are disconnected from the primary', () => {
+    const lostReplicas = replicas.map(view => ({
+      ...view,
+      upstreamLostMs: 1_000,
+    }));
+    const actions = decide({
+      record: steady(),
+      targets: [primary(), ...lostReplicas],
+    });
     expect(actions).toMatchObject([
       {kind: 'begin', cause: 'the primary is cut off from its replicas'},
     ]);
   });
 
-  // The old primary died a second ago and its replicas miss it since. Blaming
-  // the new one, chosen just now, would replace primaries without end.
-  it('is not, by replicas that have not been told of it yet', () => {
-    const cut = replicas.map(view => ({...view, upstreamLostMs: 1_200}));
-    const targets = [leading(), ...cut];
+  // Guards against endless changes: replicas that lost the old primary do not
+  // follow the new one yet.
+  it('does not begin for replicas that do not follow the primary yet', () => {
+    const lostReplicas = replicas.map(view => ({
+      ...view,
+      upstreamLostMs: 1_200,
+    }));
+    const targets = [primary(), ...lostReplicas];
     const actions = decide({record: steady(), targets, phaseAgeMs: 200});
     expect(actions).toEqual([]);
   });
 
-  it('is, as planned, when it is drained and has an heir', () => {
-    const targets = [leading({draining: true}), ...replicas];
+  it('begins as planned if a drained primary has a successor', () => {
+    const targets = [primary({draining: true}), ...replicas];
     expect(decide({record: steady(), targets})).toMatchObject([
       {kind: 'begin', planned: true, cause: 'the primary is drained'},
     ]);
-    const alone = [leading({draining: true}), dead('b'), dead('c')];
+    const alone = [
+      primary({draining: true}),
+      disconnected('b'),
+      disconnected('c'),
+    ];
     expect(decide({record: steady(), targets: alone})).toEqual([]);
   });
 });
--- a/src/services/failover/test/common/failover_promise.test.ts
+++ b/src/services/failover/test/common/failover_promise.test.ts
@@ -1,42 +1,41 @@
 import {describe, expect, it} from 'vitest';
 import {Phase} from '../../../../schema/generated/control';
-import {play, recover} from './schedule';
+import {runFaults, recover} from './schedule';
 
-const SCHEDULES = 120;
+const SEED_COUNT = 120;
 
 describe('changes of primary under random faults', () => {
-  // A caller is told that its lodgement is in and later nobody finds it; or an
-  // old primary's write is acknowledged after another one leads; or a write is
-  // called "not run" and is there. Members, proxies and control are cut off,
-  // die, lose data and return in any order; the cause would be a lease that
-  // outlives its term, or a promotion that misses an acknowledged write.
+  // Guards against lost acknowledged writes, acknowledged writes of an old
+  // primary, and writes that are reported as "not run" but were done.
   it('never loses an acknowledged write nor acknowledges an old one', () => {
     let changes = 0;
     let acknowledged = 0;
     let notRun = 0;
-    for (let seed = 1; seed <= SCHEDULES; seed++) {
-      const world = play(seed);
-      expect(world.faults, `seed ${seed}`).toEqual([]);
-      changes += world.changes;
-      acknowledged += world.acknowledged.size;
-      notRun += world.notRun.size;
+    for (let seed = 1; seed <= SEED_COUNT; seed++) {
+      const simulation = runFaults(seed);
+      expect(simulation.violations, `seed ${seed}`).toEqual([]);
+      changes += simulation.changeCount;
+      acknowledged += simulation.acknowledged.size;
+      notRun += simulation.notRun.size;
     }
-    expect(changes).toBeGreaterThan(SCHEDULES);
-    expect(acknowledged).toBeGreaterThan(SCHEDULES * 10);
+    expect(changes).toBeGreaterThan(SEED_COUNT);
+    expect(acknowledged).toBeGreaterThan(SEED_COUNT * 10);
     expect(notRun).toBeGreaterThan(0);
   });
 
-  // After the last fault callers still cannot write, and nobody was told why.
-  it('has a primary and acknowledges writes again once all are back', () => {
+  // Guards against a service that stays without a primary after all faults.
+  it('has a primary and acknowledges writes after all faults ended', () => {
     for (let seed = 1; seed <= 40; seed++) {
-      const world = play(seed);
-      recover(world);
-      const before = world.acknowledged.size;
-      world.write(world.proxies[0]!);
-      recover(world);
-      expect(world.record.phase, `seed ${seed}`).toBe(Phase.PHASE_STEADY);
-      expect(world.acknowledged.size, `seed ${seed}`).toBeGreaterThan(before);
-      expect(world.faults, `seed ${seed}`).toEqual([]);
+      const simulation = runFaults(seed);
+      recover(simulation);
+      const before = simulation.acknowledged.size;
+      simulation.write(simulation.proxies[0]!);
+      recover(simulation);
+      expect(simulation.record.phase, `seed ${seed}`).toBe(Phase.PHASE_STEADY);
+      expect(simulation.acknowledged.size, `seed ${seed}`).toBeGreaterThan(
+        before,
+      );
+      expect(simulation.violations, `seed ${seed}`).toEqual([]);
     }
   });
 });
--- a/src/services/failover/test/common/failover_simulation.ts
+++ b/src/services/failover/test/common/failover_simulation.ts
@@ -19,25 +19,24 @@
 import {decideFailover} from '../../common/failover';
 import type {FailoverView} from '../../common/failover_view';
 
-export const LEASE_MS = 80;
-const SILENCE_MS = 60;
-const DRIFT = 1.02;
+export const LEASE_DURATION_MS = 80;
+const MAX_SILENCE_MS = 60;
+const CLOCK_DRIFT_FACTOR = 1.02;
 const SERVICE = 's';
-const MOST_DELAY_MS = 40;
+const MAX_DELAY_MS = 40;
 
 interface Entry {
   readonly term: number;
   readonly id: number;
 }
 
-/** A database member of the model. */
+/** A database member in memory. */
 export class SimulatedMember {
-  up = true;
-  heardAt = 0;
-  /** Cut off from control, from other members, from proxies. */
-  cutFromControl = false;
-  cutFromMembers = false;
-  cutFromProxies = false;
+  isUp = true;
+  lastHeardAt = 0;
+  isControlUnreachable = false;
+  areMembersUnreachable = false;
+  areProxiesUnreachable = false;
   incarnation = 1;
   term = 0;
   role = Role.ROLE_REPLICA;
@@ -45,7 +44,7 @@
   logTerm = 0;
   log: Entry[] = [];
   upstream: SimulatedMember | undefined;
-  catchUp = 0;
+  catchUpLength = 0;
 
   constructor(readonly name: string) {}
 
@@ -53,9 +52,13 @@
     return {term: this.log.at(-1)?.term ?? 0, offset: this.log.length};
   }
 
-  get hearsUpstream(): boolean {
+  get isUpstreamConnected(): boolean {
     const {upstream} = this;
-    if (!upstream?.up || upstream.cutFromMembers || this.cutFromMembers) {
+    if (
+      !upstream?.isUp ||
+      upstream.areMembersUnreachable ||
+      this.areMembersUnreachable
+    ) {
       return false;
     }
     return upstream.role === Role.ROLE_PRIMARY && upstream.term === this.term;
@@ -75,12 +78,12 @@
       logTerm: this.logTerm,
       received: this.received,
       appliedOffset: this.log.length,
-      upstreamConnected: this.hearsUpstream,
+      upstreamConnected: this.isUpstreamConnected,
       leaving: false,
     };
   }
 
-  /** Loses everything that it held, promises included. */
+  /** Restarts without its data and its promised term. */
   loseData(): void {
     this.incarnation++;
     this.term = 0;
@@ -109,24 +112,24 @@
     }
     this.log.length = common;
     this.logTerm = term;
-    this.catchUp = primary.log.length;
+    this.catchUpLength = primary.log.length;
     this.replicate(0);
   }
 
   replicate(count: number): void {
-    if (!this.hearsUpstream) return;
+    if (!this.isUpstreamConnected) return;
     const from = this.log.length;
     this.log.push(...this.upstream!.log.slice(from, from + count));
-    if (this.log.length >= this.catchUp) this.matchedTerm = this.term;
+    if (this.log.length >= this.catchUpLength) this.matchedTerm = this.term;
   }
 }
 
-interface ModelProxy {
+interface SimulatedProxy {
   readonly name: string;
   readonly lease: TermLease;
   readonly commits: PendingCommits;
   record: ServiceRecord | undefined;
-  cutFromControl: boolean;
+  isControlUnreachable: boolean;
 }
 
 interface Delivery {
@@ -135,18 +138,18 @@
 }
 
 /**
- * Control's decisions, leases and commits over a model of a database group:
- * no sockets, one list of delayed messages, faults from a seed.
+ * Simulates failover decisions, leases and commits with members in memory,
+ * delayed messages and faults from a seed.
  */
 export class FailoverSimulation {
   readonly clock = new ManualClock(1_000);
   readonly machine = new ControlMachine();
   readonly targets = ['a', 'b', 'c'].map(name => new SimulatedMember(name));
-  readonly proxies: ModelProxy[];
-  readonly faults: string[] = [];
+  readonly proxies: SimulatedProxy[];
+  readonly violations: string[] = [];
   readonly acknowledged = new Map<number, string>();
   readonly notRun = new Set<number>();
-  changes = 0;
+  changeCount = 0;
   private registry!: LeaseRegistry;
   private leaderSince = 0;
   private phaseSince = 0;
@@ -165,7 +168,7 @@
         lease,
         commits: new PendingCommits(lease, 1),
         record: undefined,
-        cutFromControl: false,
+        isControlUnreachable: false,
       };
     });
     for (const {name} of this.proxies) {
@@ -193,49 +196,54 @@
     return this.targets.find(({name}) => name === this.record.primary);
   }
 
-  /** Another control instance leads from now on. */
+  /** Elects another control leader. */
   changeLeader(): void {
-    const limits = {silenceMs: SILENCE_MS, unconfirmedMs: SILENCE_MS * 2};
-    this.registry = new LeaseRegistry(limits);
+    const thresholds = {
+      silenceMs: MAX_SILENCE_MS,
+      unconfirmedMs: MAX_SILENCE_MS * 2,
+    };
+    this.registry = new LeaseRegistry(thresholds);
     this.leaderSince = this.clock.now();
   }
 
-  /** Lets time pass: messages arrive, control decides, replicas copy. */
-  pass(milliseconds: number): void {
+  /** Advances time: delivers messages, replicates and runs decisions. */
+  advance(milliseconds: number): void {
     this.clock.advance(milliseconds);
     this.runDue();
     for (const target of this.targets) {
-      const seen = target.up && !target.cutFromControl;
-      if (seen) target.heardAt = this.clock.now();
+      const isConnected = target.isUp && !target.isControlUnreachable;
+      if (isConnected) target.lastHeardAt = this.clock.now();
       target.replicate(this.random.integer(0, 3));
     }
-    this.drive();
+    this.runDecisions();
     for (const {commits} of this.proxies) commits.onTick(this.clock.now());
   }
 
-  /** A proxy asks control for its lease, and reports what it sees. */
-  ask(proxy: ModelProxy): void {
-    const askedAt = this.clock.now();
-    const ask = this.askOf(proxy);
+  /** Sends the lease request of a proxy, with its failure reports. */
+  requestLease(proxy: SimulatedProxy): void {
+    const requestedAt = this.clock.now();
+    const request = this.makeRequest(proxy);
     const registry = this.registry;
-    this.later(proxy, () => {
-      // A leader that was replaced meanwhile cannot confirm any more.
+    this.deliverLater(proxy, () => {
+      // A leader that was replaced meanwhile cannot grant any more.
       if (registry !== this.registry) return;
       const now = this.clock.now();
       const identity = {instance: proxy.name, incarnation: '1'};
-      registry.onRequest(identity, ask, now);
+      registry.onRequest(identity, request, now);
       registry.onGranted(identity, now);
       const record = structuredClone(this.record);
-      this.later(proxy, () => this.onGrant(proxy, record, askedAt));
+      this.deliverLater(proxy, () =>
+        this.onGranted(proxy, record, requestedAt),
+      );
     });
   }
 
-  /** A caller writes through a proxy to whom it takes for the primary. */
-  write(proxy: ModelProxy): void {
+  /** Writes through a proxy to the member that it knows as the primary. */
+  write(proxy: SimulatedProxy): void {
     const target = this.targets.find(
       ({name}) => name === proxy.record?.primary,
     );
-    if (!target?.up || target.cutFromProxies) return;
+    if (!target?.isUp || target.areProxiesUnreachable) return;
     if (target.role !== Role.ROLE_PRIMARY) return;
     const id = ++this.lastId;
     target.log.push({term: target.term, id});
@@ -247,13 +255,13 @@
     });
   }
 
-  /** Members tell a proxy what they hold. */
-  announce(proxy: ModelProxy): void {
+  /** Announces the status of all replicas to a proxy. */
+  announce(proxy: SimulatedProxy): void {
     for (const target of this.targets) {
-      if (!target.up || target.cutFromProxies) continue;
+      if (!target.isUp || target.areProxiesUnreachable) continue;
       const status = target.status();
       if (status.role !== Role.ROLE_REPLICA) continue;
-      this.later(undefined, () => {
+      this.deliverLater(undefined, () => {
         proxy.commits.onStatus(instanceId(target.name), status);
       });
     }
@@ -263,16 +271,16 @@
     const {record} = this;
     this.acknowledged.set(id, `${position.term}/${position.offset}`);
     if (position.term < record.term && record.phase === Phase.PHASE_STEADY) {
-      this.faults.push(
+      this.violations.push(
         `write ${id} of term ${position.term} acknowledged in ${record.term}`,
       );
     }
   }
 
-  private onGrant(
-    proxy: ModelProxy,
+  private onGranted(
+    proxy: SimulatedProxy,
     record: ServiceRecord,
-    askedAt: number,
+    requestedAt: number,
   ): void {
     const now = this.clock.now();
     if (proxy.record && proxy.record.revision > record.revision) return;
@@ -280,16 +288,17 @@
     proxy.lease.returnBelow(record.term);
     proxy.commits.onServiceRecord(record, now);
     if (record.phase !== Phase.PHASE_STEADY) return;
-    proxy.lease.extend(record.term, askedAt, LEASE_MS);
+    proxy.lease.extend(record.term, requestedAt, LEASE_DURATION_MS);
     proxy.commits.onLeaseExtended(now);
   }
 
-  private askOf(proxy: ModelProxy): LeaseRequest {
+  private makeRequest(proxy: SimulatedProxy): LeaseRequest {
     const {record, lease, commits} = proxy;
     const now = this.clock.now();
-    const changing = record?.phase === Phase.PHASE_CHANGING;
+    const isChanging = record?.phase === Phase.PHASE_CHANGING;
     const target = this.targets.find(({name}) => name === record?.primary);
-    const lost = target && (!target.up || target.cutFromProxies);
+    const isUnreachable =
+      target && (!target.isUp || target.areProxiesUnreachable);
     return {
       sequence: 1,
       knownRevision: 0,
@@ -298,12 +307,12 @@
         {
           service: SERVICE,
           term: record?.term ?? 0,
-          silentMs: lost ? SILENCE_MS : 0,
+          silentMs: isUnreachable ? MAX_SILENCE_MS : 0,
           refused: false,
           unconfirmedMs: Math.round(commits.unconfirmedMs(now)),
         },
       ],
-      handBacks: changing
+      handBacks: isChanging
         ? [
             {
               service: SERVICE,
@@ -315,7 +324,7 @@
     };
   }
 
-  private drive(): void {
+  private runDecisions(): void {
     for (const action of decideFailover(this.view())) {
       const {record} = this;
       const {term} = record;
@@ -334,7 +343,7 @@
           this.complete(action.primary, action.incarnation, action.base);
           return;
         case 'fence':
-          this.reach(action.instance)?.stepDown(term);
+          this.reachableMember(action.instance)?.stepDown(term);
           break;
         case 'promote':
           this.promote(action.instance, term);
@@ -343,8 +352,12 @@
           const primary = this.targets.find(({name}) => {
             return name === action.replicationAddress;
           })!;
-          const target = this.reach(action.instance);
-          if (target && !primary.cutFromMembers && !target.cutFromMembers) {
+          const target = this.reachableMember(action.instance);
+          if (
+            target &&
+            !primary.areMembersUnreachable &&
+            !target.areMembersUnreachable
+          ) {
             target.attach(term, primary);
           }
         }
@@ -353,7 +366,7 @@
   }
 
   private promote(instance: string, term: number): void {
-    const target = this.reach(instance);
+    const target = this.reachableMember(instance);
     if (!target || target.term > term) return;
     if (target.role === Role.ROLE_PRIMARY && target.term === term) return;
     target.stepDown(term);
@@ -364,15 +377,15 @@
 
   private complete(primary: string, incarnation: string, base: Position): void {
     const {term} = this.record;
-    this.changes++;
-    const chosen = this.targets.find(({name}) => name === primary)!;
-    const held = new Set(chosen.log.map(({id}) => id));
+    this.changeCount++;
+    const successor = this.targets.find(({name}) => name === primary)!;
+    const held = new Set(successor.log.map(({id}) => id));
     for (const [id, at] of this.acknowledged) {
       if (held.has(id)) continue;
-      this.faults.push(`write ${id} at ${at} is not on ${primary}`);
+      this.violations.push(`write ${id} at ${at} is not on ${primary}`);
     }
     for (const id of this.notRun) {
-      if (held.has(id)) this.faults.push(`write ${id} "not run" is there`);
+      if (held.has(id)) this.violations.push(`write ${id} "not run" is there`);
     }
     const value = {
       service: SERVICE,
@@ -386,9 +399,9 @@
     this.apply({$case: 'completeChange', value});
   }
 
-  private reach(instance: string): SimulatedMember | undefined {
+  private reachableMember(instance: string): SimulatedMember | undefined {
     const target = this.targets.find(({name}) => name === instance);
-    return target?.up && !target.cutFromControl ? target : undefined;
+    return target?.isUp && !target.isControlUnreachable ? target : undefined;
   }
 
   private view(): FailoverView {
@@ -397,8 +410,8 @@
       record: this.record,
       memberCount: 3,
       requiredConfirmations: 1,
-      maxSilenceMs: SILENCE_MS,
-      maxLeaseMs: LEASE_MS * DRIFT,
+      maxSilenceMs: MAX_SILENCE_MS,
+      maxLeaseMs: LEASE_DURATION_MS * CLOCK_DRIFT_FACTOR,
       now,
       leaderSince: this.leaderSince,
       phaseAgeMs: now - this.phaseSince,
@@ -406,10 +419,10 @@
         instance: target.name,
         draining: false,
         firstIncarnation: '1',
-        connected: target.up && !target.cutFromControl,
-        silentMs: now - target.heardAt,
+        connected: target.isUp && !target.isControlUnreachable,
+        silentMs: now - target.lastHeardAt,
         status: target.status(),
-        upstreamLostMs: target.hearsUpstream ? 0 : SILENCE_MS * 2,
+        upstreamLostMs: target.isUpstreamConnected ? 0 : MAX_SILENCE_MS * 2,
       })),
       proxies: this.machine.state.proxies.map(proxy => {
         return this.registry.viewOf(proxy, SERVICE, now);
@@ -423,10 +436,13 @@
     this.machine.apply(this.index++, {wallTimeMs: 0, body});
   }
 
-  private later(proxy: ModelProxy | undefined, run: () => void): void {
-    const delay = this.random.integer(0, MOST_DELAY_MS);
+  private deliverLater(
+    proxy: SimulatedProxy | undefined,
+    run: () => void,
+  ): void {
+    const delay = this.random.integer(0, MAX_DELAY_MS);
     const checked = () => {
-      if (!proxy?.cutFromControl) run();
+      if (!proxy?.isControlUnreachable) run();
     };
     this.deliveries.push({at: this.clock.now() + delay, run: checked});
   }
