--- a/src/services/confirmation/common/pending_commits.ts
+++ b/src/services/confirmation/common/pending_commits.ts
@@ -6,29 +6,29 @@
 import type {Position} from '../../position/common/position';
 import {ReplicaConfirmations} from './replica_confirmations';
 
-/** What a commit came to, as a caller may be told. */
+/** Outcome of a commit, as it is reported to the caller. */
 export type CommitOutcome =
-  /** It is done and will stay so. */
+  /** It is committed and cannot be lost. */
   | 'done'
-  /** It is gone: the log of a later term does not have it. */
+  /** It is lost: the log of a later term does not have it. */
   | 'not run'
-  /** Neither was known before the deadline. */
+  /** Neither was certain before the deadline. */
   | 'unknown';
 
 interface CommitEntry {
-  /** Where it was made. */
-  readonly made: Position;
-  /** In the term under which it will be acknowledged. */
+  /** Its position in the term in which it was written. */
+  readonly originalPosition: Position;
+  /** Its position in the term under which it is to be acknowledged. */
   position: Position;
   state: 'confirming' | 'awaiting lease' | 'between terms' | 'lost';
   readonly deadline: number;
-  readonly settle: (outcome: CommitOutcome, position: Position) => void;
+  readonly resolve: (outcome: CommitOutcome, position: Position) => void;
 }
 
 /**
- * Commits of one service on the way to their acknowledgement: each needs
- * enough replicas and a lease on its term. Where the term ends first, the log
- * of the next one tells whether the commit is done or never was.
+ * Commits of one service that are not acknowledged yet. Each needs enough
+ * replicas and a lease on its term; if the term ends first, the log of the next
+ * term decides whether the commit is done or lost.
  */
 export class PendingCommits {
   private readonly confirmations: ReplicaConfirmations;
@@ -37,32 +37,32 @@
 
   constructor(
     private readonly lease: TermLease,
-    confirmationsNeeded: number,
+    requiredConfirmations: number,
   ) {
-    this.confirmations = new ReplicaConfirmations(confirmationsNeeded);
+    this.confirmations = new ReplicaConfirmations(requiredConfirmations);
   }
 
   get pendingCount(): number {
     return this.pending.size;
   }
 
-  setRequiredConfirmations(needed: number): void {
-    this.confirmations.setRequired(needed);
+  setRequiredConfirmations(required: number): void {
+    this.confirmations.setRequired(required);
   }
 
-  /** Settles once the commit may be acknowledged, or cannot be. */
+  /** Calls `resolve` with the outcome, at the deadline at the latest. */
   add(
     position: Position,
     deadline: number,
     now: number,
-    settle: CommitEntry['settle'],
+    resolve: CommitEntry['resolve'],
   ): void {
     const commit: CommitEntry = {
-      made: position,
+      originalPosition: position,
       position,
       state: 'confirming',
       deadline,
-      settle,
+      resolve,
     };
     this.pending.add(commit);
     if (position.term < (this.record?.term ?? 0)) this.endTerm(commit, now);
@@ -86,7 +86,7 @@
     }
   }
 
-  /** The lease was extended. */
+  /** Acknowledges the commits that waited for the lease. */
   onLeaseExtended(now: number): void {
     for (const commit of [...this.pending]) {
       if (commit.state === 'awaiting lease') this.acknowledge(commit, now);
@@ -95,18 +95,18 @@
 
   onTick(now: number): void {
     for (const commit of [...this.pending]) {
-      if (commit.deadline <= now) this.settle(commit, 'unknown');
+      if (commit.deadline <= now) this.resolve(commit, 'unknown');
     }
   }
 
-  /** How long the oldest commit has waited for replicas, in milliseconds. */
+  /** How long the oldest commit has been waiting for replicas, in ms. */
   unconfirmedMs(now: number): number {
     return this.confirmations.oldestWaitMs(now);
   }
 
   private confirm(commit: CommitEntry, now: number): void {
     commit.state = 'confirming';
-    this.confirmations.wait(commit.position, now, outcome => {
+    this.confirmations.waitFor(commit.position, now, outcome => {
       if (outcome !== 'confirmed' || !this.pending.has(commit)) return;
       commit.state = 'awaiting lease';
       this.acknowledge(commit, this.lease.now());
@@ -115,7 +115,7 @@
 
   private acknowledge(commit: CommitEntry, now: number): void {
     if (!this.lease.acknowledge(commit.position, now)) return;
-    this.settle(commit, 'done');
+    this.resolve(commit, 'done');
   }
 
   private endTerm(commit: CommitEntry, now: number): void {
@@ -123,17 +123,16 @@
     commit.state = 'between terms';
     if (!record || record.phase !== Phase.PHASE_STEADY) return;
     const {term, termStarts} = record;
-    const lineage = new TermHistory(term, termStarts);
-    commit.position = {term, offset: commit.made.offset};
-    if (lineage.contains(commit.made)) this.confirm(commit, now);
+    const history = new TermHistory(term, termStarts);
+    commit.position = {term, offset: commit.originalPosition.offset};
+    if (history.contains(commit.originalPosition)) this.confirm(commit, now);
     else this.confirmLoss(commit, record, now);
   }
 
   /**
-   * Guard against calling a write "not run" that comes back: while only the
-   * new primary has the new term's log, its loss could bring an older log with
-   * the write back. Once enough replicas are matched with it, no later term
-   * can go on with an older log.
+   * Guard: a write that was reported as "not run" must not reappear. If only
+   * the new primary had the new term's log, its loss could restore an older log
+   * with the write. Enough matched replicas rule that out.
    */
   private confirmLoss(
     commit: CommitEntry,
@@ -142,13 +141,13 @@
   ): void {
     commit.state = 'lost';
     const offset = termStarts.at(-1)?.baseOffset ?? 0;
-    this.confirmations.wait({term, offset}, now, outcome => {
-      if (outcome === 'confirmed') this.settle(commit, 'not run');
+    this.confirmations.waitFor({term, offset}, now, outcome => {
+      if (outcome === 'confirmed') this.resolve(commit, 'not run');
     });
   }
 
-  private settle(commit: CommitEntry, outcome: CommitOutcome): void {
+  private resolve(commit: CommitEntry, outcome: CommitOutcome): void {
     if (!this.pending.delete(commit)) return;
-    commit.settle(outcome, commit.position);
+    commit.resolve(outcome, commit.position);
   }
 }
--- a/src/services/confirmation/common/replica_confirmations.ts
+++ b/src/services/confirmation/common/replica_confirmations.ts
@@ -4,85 +4,86 @@
   TargetStatus,
 } from '../../../schema/generated/announcement';
 
-/** What became of a commit that waited for replicas. */
+/** Outcome of waiting for replicas to receive a commit. */
 export type ConfirmationOutcome =
-  /** Enough replicas hold it. */
+  /** Enough replicas have received it. */
   | 'confirmed'
-  /** The term ended first: whether it survives is not known yet. */
+  /** The term ended first, so it is unknown whether the commit survives. */
   | 'term ended';
 
-type Settle = (outcome: ConfirmationOutcome) => void;
+type Callback = (outcome: ConfirmationOutcome) => void;
 
 interface Waiter {
   readonly position: Position;
-  readonly since: number;
-  readonly settle: Settle;
+  readonly startedAt: number;
+  readonly resolve: Callback;
 }
 
 /**
- * Commits of one service that wait until replicas hold them.
+ * Commits of one service that wait until replicas have received them.
  *
- * Guard against losing an acknowledged write with its primary: replication is
- * asynchronous, so the answer is held until a replica of the same term has the
- * commit. A promotion meets that replica.
+ * Guard: no acknowledged write may be lost with its primary. Replication is
+ * asynchronous, so the reply waits for replicas of the same term, one of which
+ * takes part in any promotion.
  */
 export class ReplicaConfirmations {
   private waiters: Waiter[] = [];
-  private readonly held = new Map<InstanceId, Position>();
+  private readonly positions = new Map<InstanceId, Position>();
 
-  constructor(private needed: number) {}
+  constructor(private required: number) {}
 
-  setRequired(needed: number): void {
-    this.needed = needed;
-    this.settleDue();
+  setRequired(required: number): void {
+    this.required = required;
+    this.resolveConfirmed();
   }
 
-  /** Calls back once enough replicas hold a position. */
-  wait(position: Position, now: number, settle: Settle): void {
-    if (this.isHeld(position)) return settle('confirmed');
-    this.waiters.push({position, since: now, settle});
+  /** Calls back once enough replicas have received a position. */
+  waitFor(position: Position, now: number, resolve: Callback): void {
+    if (this.isConfirmed(position)) return resolve('confirmed');
+    this.waiters.push({position, startedAt: now, resolve});
   }
 
-  /** Takes in what a replica says that it holds. */
+  /** Records the position that a replica reports. */
   onStatus(instance: InstanceId, status: TargetStatus): void {
     const {matchedTerm, term, received, upstreamConnected} = status;
-    // A replica whose log was not matched with this term's primary may hold
-    // other writes at the same offsets.
+    // A replica whose log was not matched with the primary of this term may
+    // have other writes at the same offsets.
     if (matchedTerm !== term || !received || !upstreamConnected) return;
-    this.held.set(instance, {term, offset: received.offset});
-    this.settleDue();
+    this.positions.set(instance, {term, offset: received.offset});
+    this.resolveConfirmed();
   }
 
-  /** A replica is gone: what it held may be gone with it. */
+  /** Removes a replica, which may have lost its data. */
   onClosed(instance: InstanceId): void {
-    this.held.delete(instance);
+    this.positions.delete(instance);
   }
 
-  /** Every commit of a term below this one is given back unsettled. */
+  /** Ends the wait of all commits of lower terms. */
   endTermsBelow(term: number): void {
     const ended = this.waiters.filter(waiter => waiter.position.term < term);
     this.waiters = this.waiters.filter(waiter => waiter.position.term >= term);
-    for (const {settle} of ended) settle('term ended');
+    for (const {resolve} of ended) resolve('term ended');
   }
 
-  /** How long the oldest commit has waited, in milliseconds. */
   oldestWaitMs(now: number): number {
     const [oldest] = this.waiters;
-    return oldest ? now - oldest.since : 0;
+    return oldest ? now - oldest.startedAt : 0;
   }
 
-  private settleDue(): void {
-    const due = this.waiters.filter(({position}) => this.isHeld(position));
-    if (due.length === 0) return;
-    this.waiters = this.waiters.filter(waiter => !due.includes(waiter));
-    for (const {settle} of due) settle('confirmed');
+  private resolveConfirmed(): void {
+    const confirmed = this.waiters.filter(({position}) =>
+      this.isConfirmed(position),
+    );
+    if (confirmed.length === 0) return;
+    this.waiters = this.waiters.filter(waiter => !confirmed.includes(waiter));
+    for (const {resolve} of confirmed) resolve('confirmed');
   }
 
-  private isHeld({term, offset}: Position): boolean {
+  private isConfirmed({term, offset}: Position): boolean {
     let count = 0;
-    for (const held of this.held.values()) {
-      if (held.term === term && held.offset >= offset) count++;
+    for (const position of this.positions.values()) {
+      if (position.term === term && position.offset >= offset) count++;
     }
-    return count >= this.needed;
+    return count >= this.required;
   }
 }
--- a/src/services/confirmation/test/common/pending_commits.test.ts
+++ b/src/services/confirmation/test/common/pending_commits.test.ts
@@ -45,10 +45,9 @@
   return {clock, lease, commits, outcomes, add};
 }
 
-describe('commits on their way to the caller', () => {
-  // The primary answers COMMIT and dies before any replica has it. Told
-  // "done", the treasurer never lodges again and the filing is lost.
-  it('waits until a replica of the same term holds it', () => {
+describe('a pending commit', () => {
+  // Guards against acknowledging a commit that is lost with its primary.
+  it('waits until a replica of the same term has received it', () => {
     const {commits, outcomes, add} = setUp();
     add(1, 10);
     commits.onStatus(R1, status(1, 9));
@@ -58,9 +57,9 @@
     expect(outcomes).toEqual(['done']);
   });
 
-  // A proxy is cut off from control. Its primary was replaced meanwhile, and
-  // an old replica still confirms to it.
-  it('is not acknowledged once the lease has run out', () => {
+  // Guards against a proxy that is disconnected from control and acknowledges
+  // writes of a replaced primary.
+  it('is not acknowledged after the lease has expired', () => {
     const {clock, lease, commits, outcomes, add} = setUp();
     add(1, 10);
     clock.advance(500);
@@ -71,7 +70,7 @@
     expect(outcomes).toEqual(['done']);
   });
 
-  it('is done where the next term has it, under the next lease', () => {
+  it('is done under the next lease if the next term has it', () => {
     const {clock, lease, commits, outcomes, add} = setUp();
     add(1, 10);
     commits.onServiceRecord(
@@ -87,9 +86,9 @@
     expect(outcomes).toEqual(['done']);
   });
 
-  // The next term lacks the write, but so far only its primary has its log.
-  // If that one is lost too, an older log may come back, write and all.
-  it('is called not run only when no older log can come back', () => {
+  // Guards against a write that was reported as "not run" and reappears: while
+  // only the new primary has the new log, an older log may be restored.
+  it('is "not run" only when no older log can be restored', () => {
     const {clock, commits, outcomes, add} = setUp();
     add(1, 10);
     const starts = [FIRST, {term: 2, baseOffset: 9, baseTerm: 1}];
@@ -99,7 +98,7 @@
     expect(outcomes).toEqual(['not run']);
   });
 
-  it('is unknown at its deadline, and final at once', () => {
+  it('is unknown at its deadline, which is final', () => {
     const {clock, commits, outcomes, add} = setUp();
     add(1, 10);
     clock.advance(400);
