--- a/src/services/consensus/node/log_storage.ts
+++ b/src/services/consensus/node/log_storage.ts
@@ -35,8 +35,8 @@
  * The log on disk: one snapshot and one file of framed records.
  *
  * Guard: an instance that lost its directory gets a new id, under which it is
- * no voter. With the old id it could vote twice in a term, and two leaders could
- * be elected.
+ * no voter. With the old id it could vote twice in a term, and so elect a
+ * second leader.
  */
 export class LogStorage {
   private hardState: HardState = {term: 0, votedFor: ''};
@@ -151,8 +151,8 @@
     ];
     try {
       const bytes = Snapshot.encode(snapshot).finish();
-      // The snapshot is written first. Entries that it covers are skipped, but a
-      // log without them would have a gap.
+      // The snapshot is written first. Entries that it covers are skipped, but
+      // a log without them would have a gap.
       await replaceFile(this.directory, SNAPSHOT_FILE, encodeFrame(bytes));
       const log = encodeFrame(encodeRecords(records));
       await replaceFile(this.directory, LOG_FILE, log);
--- a/src/services/failover/test/common/failover.test.ts
+++ b/src/services/failover/test/common/failover.test.ts
@@ -188,8 +188,8 @@
 
   it('begins for a majority of control and proxies', () => {
     const targets = [primary({silentMs: 600}), ...replicas];
-    const lost = {unreachableTerm: 1};
-    const proxies = [proxy('p1', lost), proxy('p2', lost), proxy('p3')];
+    const report = {unreachableTerm: 1};
+    const proxies = [proxy('p1', report), proxy('p2', report), proxy('p3')];
     expect(decide({record: steady(), targets, proxies})).toMatchObject([
       {kind: 'begin', term: 2, planned: false},
     ]);
--- a/src/services/promotion/test/node/simulated_group.ts
+++ b/src/services/promotion/test/node/simulated_group.ts
@@ -112,7 +112,7 @@
     if (this.isClosed) return;
     this.isClosed = true;
     const lost: TargetReply = {kind: 'lost', reason: 'closed'};
-    for (const settle of this.pending.splice(0)) settle(lost);
+    for (const resolve of this.pending.splice(0)) resolve(lost);
     for (const listener of this.listeners) listener();
   }
 }
