--- a/src/services/position/common/term_history.ts
+++ b/src/services/position/common/term_history.ts
@@ -2,65 +2,64 @@
 import type {TermStart} from '../../../schema/generated/control';
 
 /**
- * How the logs of terms go on from one another. A new term goes on with the
- * log that its primary holds, which need not be the log of the term just
- * before: where that one's primary was lost before anybody had its log, the
- * next goes on with an older one, and what was written in between is gone.
+ * Which log each term continued, like a timeline history of PostgreSQL. A new
+ * term continues the log of its primary, which need not be that of the term
+ * before: entries that only a lost primary had are discarded.
  */
 export class TermHistory {
-  private readonly starts: ReadonlyMap<number, TermStart>;
-  /** The terms that the current log goes back to, with the log's limits. */
-  private readonly limits = new Map<number, number>();
+  private readonly termStarts: ReadonlyMap<number, TermStart>;
+  /** Up to which offset the current log continued the log of each term. */
+  private readonly commonOffsets = new Map<number, number>();
 
   constructor(
     readonly currentTerm: number,
     termStarts: readonly TermStart[],
   ) {
-    this.starts = new Map(termStarts.map(start => [start.term, start]));
+    this.termStarts = new Map(termStarts.map(start => [start.term, start]));
     let limit = Infinity;
     let term = currentTerm;
     for (;;) {
-      this.limits.set(term, limit);
-      const start = this.starts.get(term);
+      this.commonOffsets.set(term, limit);
+      const start = this.termStarts.get(term);
       if (!start) break;
       limit = Math.min(limit, start.baseOffset);
       term = start.baseTerm;
     }
-    this.oldest = term;
-    this.oldestLimit = limit;
+    this.oldestTerm = term;
+    this.oldestCommonOffset = limit;
   }
 
-  /** Whether the current log goes back to a term's. */
+  /** Whether the current log continued the log of a term. */
   includes(term: number): boolean {
-    return this.limits.has(term) || term < this.oldest;
+    return this.commonOffsets.has(term) || term < this.oldestTerm;
   }
 
   /**
-   * Up to which offset the log of a term agrees with the current one.
-   * Infinity for the current term itself.
+   * The offset up to which the log of a term agrees with the current one;
+   * Infinity for the current term.
    */
   commonOffset(term: number): number {
-    const limit = this.limits.get(term);
+    const limit = this.commonOffsets.get(term);
     if (limit !== undefined) return limit;
-    const start = this.starts.get(term);
-    if (!start) return this.oldestLimit;
+    const start = this.termStarts.get(term);
+    if (!start) return this.oldestCommonOffset;
     return Math.min(start.baseOffset, this.commonOffset(start.baseTerm));
   }
 
-  /** Whether the current log has the write at a position. */
+  /** Whether the current log contains the write at a position. */
   contains({term, offset}: Position): boolean {
     return this.includes(term) && offset <= this.commonOffset(term);
   }
 
   /**
-   * The offset that the current log must reach to hold a position. Offsets
-   * past the common part were never acknowledged: a session that saw one would
-   * wait for an offset that the log reaches with other writes, or never.
+   * The offset that the current log must reach to contain a position. Offsets
+   * beyond the common log were never acknowledged; the current log has other
+   * writes there, or none.
    */
   requiredOffset({term, offset}: Position): number {
     return Math.min(offset, this.commonOffset(term));
   }
 
-  private readonly oldest: number;
-  private readonly oldestLimit: number;
+  private readonly oldestTerm: number;
+  private readonly oldestCommonOffset: number;
 }
--- a/src/services/position/test/common/term_history.test.ts
+++ b/src/services/position/test/common/term_history.test.ts
@@ -7,30 +7,30 @@
   baseTerm,
 });
 
-/** Term 3 goes on with term 1: term 2's primary was lost with its log. */
+/** Term 3 continues the log of term 1; that of term 2 was lost. */
 const SKIPPED = [start(1, 0, 0), start(2, 90, 1), start(3, 100, 1)];
 
-describe('the lineage of terms', () => {
-  it('holds what lies before the start of each later term', () => {
-    const lineage = new TermHistory(2, [start(1, 0, 0), start(2, 90, 1)]);
-    expect(lineage.contains({term: 1, offset: 90})).toBe(true);
-    expect(lineage.contains({term: 1, offset: 91})).toBe(false);
-    expect(lineage.contains({term: 2, offset: 500})).toBe(true);
+describe('TermHistory', () => {
+  it('contains positions before the start of each later term', () => {
+    const history = new TermHistory(2, [start(1, 0, 0), start(2, 90, 1)]);
+    expect(history.contains({term: 1, offset: 90})).toBe(true);
+    expect(history.contains({term: 1, offset: 91})).toBe(false);
+    expect(history.contains({term: 2, offset: 500})).toBe(true);
   });
 
-  // Term 2 did not have the write at 1/95; term 3 goes on with the log that
-  // has it. Looking at term 2 alone would call it "not run".
-  it('goes back over a term that was skipped', () => {
-    const lineage = new TermHistory(3, SKIPPED);
-    expect(lineage.contains({term: 1, offset: 95})).toBe(true);
-    expect(lineage.contains({term: 2, offset: 95})).toBe(false);
-    expect(lineage.commonOffset(2)).toBe(90);
-    expect(lineage.requiredOffset({term: 2, offset: 95})).toBe(90);
+  // Guards against reporting a write as "not run" that term 2 lacks, but term 3
+  // contains.
+  it('skips a term whose log was not continued', () => {
+    const history = new TermHistory(3, SKIPPED);
+    expect(history.contains({term: 1, offset: 95})).toBe(true);
+    expect(history.contains({term: 2, offset: 95})).toBe(false);
+    expect(history.commonOffset(2)).toBe(90);
+    expect(history.requiredOffset({term: 2, offset: 95})).toBe(90);
   });
 
-  it('knows terms that are too old to be listed by their limit', () => {
-    const lineage = new TermHistory(9, [start(8, 500, 7), start(9, 600, 8)]);
-    expect(lineage.contains({term: 3, offset: 400})).toBe(true);
-    expect(lineage.commonOffset(3)).toBe(500);
+  it('limits terms that are too old to be listed', () => {
+    const history = new TermHistory(9, [start(8, 500, 7), start(9, 600, 8)]);
+    expect(history.contains({term: 3, offset: 400})).toBe(true);
+    expect(history.commonOffset(3)).toBe(500);
   });
 });
