--- a/src/services/announcement/common/target_directory.ts
+++ b/src/services/announcement/common/target_directory.ts
@@ -1,25 +1,24 @@
 import type {InstanceId, ServiceName} from '../../../base/common/ids';
 import type {TargetStatus} from '../../../schema/generated/announcement';
 
-/** A closed stream counts as a loss after this time, in milliseconds. */
+/** A target counts as disconnected this long after its stream closed. */
 export const CLOSED_GRACE_MS = 40;
-/** Pings that are remembered while their answers are under way. */
-const MOST_OPEN_PINGS = 64;
+const MAX_PENDING_PINGS = 64;
 
-/** Names one member of one group. */
+/** Identifies one member of one service. */
 export interface TargetKey {
   readonly service: ServiceName;
   readonly instance: InstanceId;
 }
 
-/** What a target was known to hold at or after a time. */
+/** A status that a target had at or after a moment. */
 export interface PositionSample {
-  /** When it was asked, on the observer's clock. */
+  /** When the ping was sent, on the observer's clock. */
   readonly askedAt: number;
   readonly status: TargetStatus;
 }
 
-/** What one observer knows of one target. */
+/** State of one target, as an observer sees it. */
 export interface TargetObservation {
   readonly key: TargetKey;
   readonly status: TargetStatus;
@@ -39,14 +38,14 @@
   pings: Map<number, number>;
 }
 
-/** What an observer knows of all targets that announced themselves. */
+/** State of all targets that announced themselves to an observer. */
 export class TargetDirectory {
   private readonly byService = new Map<
     ServiceName,
     Map<InstanceId, MutableObservation>
   >();
 
-  /** All members of a service that were ever heard of. */
+  /** All members of a service that ever announced themselves. */
   targetsOf(service: ServiceName): readonly TargetObservation[] {
     return [...(this.byService.get(service)?.values() ?? [])];
   }
@@ -74,11 +73,11 @@
     const pings = this.find(key)?.pings;
     if (!pings) return;
     pings.set(sequence, now);
-    if (pings.size <= MOST_OPEN_PINGS) return;
+    if (pings.size <= MAX_PENDING_PINGS) return;
     pings.delete(pings.keys().next().value!);
   }
 
-  /** The sample that an answered ping gives. */
+  /** Records the reply to a ping; undefined if the ping is not pending. */
   onPong(
     key: TargetKey,
     sequence: number,
@@ -125,13 +124,13 @@
   }
 }
 
-/** Whether a stream from the target is open, or was until just now. */
+/** Whether the stream of a target is open, or closed within the grace time. */
 export function isConnected(target: TargetObservation, now: number): boolean {
   const {closedAt} = target;
   return closedAt === undefined || now - closedAt < CLOSED_GRACE_MS;
 }
 
-/** How long a target has given no sign of life, in milliseconds. */
+/** Time since the last message of a target, in milliseconds. */
 export function silenceMsOf(target: TargetObservation, now: number): number {
   return Math.max(0, now - target.lastHeardAt);
 }
--- a/src/services/announcement/node/announcement_observer.ts
+++ b/src/services/announcement/node/announcement_observer.ts
@@ -19,7 +19,7 @@
 
 type Stream = ServerDuplexStream<TargetMessage, ObserverMessage>;
 
-/** What an observer's owner hears of targets. */
+/** Receives the events of the targets of an observer. */
 export interface TargetListener {
   onDidChangeTarget(key: TargetKey, status: TargetStatus | undefined): void;
   onDidSample(key: TargetKey, sample: PositionSample): void;
@@ -32,12 +32,12 @@
 }
 
 /**
- * The observer's end of announcement streams: takes in what targets say of
- * themselves, pings them and carries orders to them.
+ * The observer's end of announcement streams: receives the status of targets,
+ * pings them and sends orders to them.
  */
 export class AnnouncementObserver {
-  private readonly open = new Map<string, OpenStream>();
-  private sequence = 0;
+  private readonly streams = new Map<string, OpenStream>();
+  private lastSequence = 0;
 
   constructor(
     private readonly directory: TargetDirectory,
@@ -50,28 +50,28 @@
     every(signal, pingMs, () => this.pingAll());
   }
 
-  /** The handlers to add to a gRPC server. */
+  /** Handlers of the announcement service for a gRPC server. */
   get handlers(): AnnouncementServer {
     return {announce: stream => this.accept(stream)};
   }
 
-  /** Sends an order; false where no stream of the target is open. */
+  /** Sends an order; false if the target has no open stream. */
   sendOrder(key: TargetKey, order: Order): boolean {
-    const entry = this.open.get(nameOf(key));
+    const entry = this.streams.get(streamName(key));
     if (!entry) return false;
     entry.stream.write({body: {$case: 'order', value: order}});
     return true;
   }
 
-  /** Asks one target for its position now rather than at the next ping. */
+  /** Pings one target now instead of with the next ping of all. */
   ping(key: TargetKey): void {
-    const entry = this.open.get(nameOf(key));
-    if (entry) this.pingOne(entry, ++this.sequence);
+    const entry = this.streams.get(streamName(key));
+    if (entry) this.pingOne(entry, ++this.lastSequence);
   }
 
   private pingAll(): void {
-    const sequence = ++this.sequence;
-    for (const entry of this.open.values()) this.pingOne(entry, sequence);
+    const sequence = ++this.lastSequence;
+    for (const entry of this.streams.values()) this.pingOne(entry, sequence);
   }
 
   private pingOne({key, stream}: OpenStream, sequence: number): void {
@@ -97,9 +97,9 @@
 
   private onStatus(stream: Stream, status: TargetStatus): TargetKey {
     const key = keyOf(status);
-    const previous = this.open.get(nameOf(key));
+    const previous = this.streams.get(streamName(key));
     if (previous?.stream !== stream) {
-      this.open.set(nameOf(key), {key, stream});
+      this.streams.set(streamName(key), {key, stream});
     }
     this.directory.onStatus(key, status, this.clock.now());
     this.listener.onDidChangeTarget(key, status);
@@ -107,7 +107,7 @@
     return key;
   }
 
-  /** Changes came with a status of their own; a pong only dates them. */
+  /** Samples the status at a moment; changes are announced separately. */
   private onPong(key: TargetKey, {sequence, status}: Pong): void {
     const now = this.clock.now();
     if (status) this.directory.onStatus(key, status, now);
@@ -124,8 +124,8 @@
   }
 
   private onClosed(stream: Stream, key: TargetKey | undefined): void {
-    if (!key || this.open.get(nameOf(key))?.stream !== stream) return;
-    this.open.delete(nameOf(key));
+    if (!key || this.streams.get(streamName(key))?.stream !== stream) return;
+    this.streams.delete(streamName(key));
     this.directory.onClosed(key, this.clock.now());
     this.listener.onDidChangeTarget(key, undefined);
   }
@@ -135,6 +135,6 @@
   return {service: serviceName(service), instance: instanceId(instance)};
 }
 
-function nameOf({service, instance}: TargetKey): string {
+function streamName({service, instance}: TargetKey): string {
   return `${service}/${instance}`;
 }
--- a/src/services/announcement/node/announcer.ts
+++ b/src/services/announcement/node/announcer.ts
@@ -10,11 +10,11 @@
 } from '../../../schema/generated/announcement';
 import {AnnouncementClient} from '../../../schema/generated/announcement_service';
 
-const RECONNECT_MS = 100;
-/** A stream on which no ping came for this long is opened anew. */
-const DEAF_MS = 3_000;
+const RECONNECT_DELAY_MS = 100;
+/** A stream without a ping for this long is opened again. */
+const PING_TIMEOUT_MS = 3_000;
 
-/** What a target says and does when it is asked. */
+/** The target behind an announcer. */
 export interface AnnouncedTarget {
   status(): TargetStatus;
   execute(order: Order): OrderResult;
@@ -22,12 +22,12 @@
 
 type Stream = ClientDuplexStream<TargetMessage, ObserverMessage>;
 
-/** The target's end of one announcement stream. */
+/** The target's end of an announcement stream, which reconnects when lost. */
 export class Announcer {
   private readonly client;
   private stream: Stream | undefined;
-  private heardAt = 0;
-  private announcing = false;
+  private lastMessageAt = 0;
+  private isAnnouncing = false;
 
   constructor(
     private readonly target: AnnouncedTarget,
@@ -40,17 +40,17 @@
       LINK_OPTIONS,
     );
     signal.addEventListener('abort', () => this.client.close(), {once: true});
-    every(signal, DEAF_MS, () => this.reopenIfDeaf());
+    every(signal, PING_TIMEOUT_MS, () => this.cancelIfSilent());
     this.connect();
   }
 
-  /** Tells the observer of a change; changes at one time make one message. */
+  /** Announces the status; changes in the same tick share one message. */
   announce(): void {
-    if (this.announcing || !this.stream) return;
-    this.announcing = true;
+    if (this.isAnnouncing || !this.stream) return;
+    this.isAnnouncing = true;
     setImmediate(() => {
-      this.announcing = false;
-      this.say({$case: 'status', value: this.target.status()});
+      this.isAnnouncing = false;
+      this.write({$case: 'status', value: this.target.status()});
     });
   }
 
@@ -58,37 +58,37 @@
     if (this.signal.aborted) return;
     const stream = this.client.announce();
     this.stream = stream;
-    this.heardAt = Date.now();
+    this.lastMessageAt = Date.now();
     stream.on('data', (message: ObserverMessage) => this.onMessage(message));
-    let ended = false;
+    let hasEnded = false;
     const onEnd = () => {
-      if (ended) return;
-      ended = true;
+      if (hasEnded) return;
+      hasEnded = true;
       if (this.stream === stream) this.stream = undefined;
-      after(this.signal, RECONNECT_MS, () => this.connect());
+      after(this.signal, RECONNECT_DELAY_MS, () => this.connect());
     };
     stream.on('error', onEnd);
     stream.on('end', onEnd);
-    this.say({$case: 'status', value: this.target.status()});
+    this.write({$case: 'status', value: this.target.status()});
   }
 
-  private reopenIfDeaf(): void {
-    if (Date.now() - this.heardAt < DEAF_MS) return;
+  private cancelIfSilent(): void {
+    if (Date.now() - this.lastMessageAt < PING_TIMEOUT_MS) return;
     this.stream?.cancel();
   }
 
   private onMessage({body}: ObserverMessage): void {
-    this.heardAt = Date.now();
+    this.lastMessageAt = Date.now();
     if (body?.$case === 'ping') {
       const status = this.target.status();
-      this.say({$case: 'pong', value: {sequence: body.value, status}});
+      this.write({$case: 'pong', value: {sequence: body.value, status}});
     }
     if (body?.$case === 'order') {
-      this.say({$case: 'result', value: this.target.execute(body.value)});
+      this.write({$case: 'result', value: this.target.execute(body.value)});
     }
   }
 
-  private say(body: NonNullable<TargetMessage['body']>): void {
+  private write(body: NonNullable<TargetMessage['body']>): void {
     this.stream?.write({body});
   }
 }
--- a/src/services/announcement/test/common/status_fixture.ts
+++ b/src/services/announcement/test/common/status_fixture.ts
@@ -3,7 +3,7 @@
   type TargetStatus,
 } from '../../../../schema/generated/announcement';
 
-/** A replica that has caught up with a term's primary, up to an offset. */
+/** Status of a replica that has caught up with the primary of a term. */
 export function replicaStatus(
   term: number,
   offset: number,
