--- a/src/services/consensus/common/election.ts
+++ b/src/services/consensus/common/election.ts
@@ -14,7 +14,7 @@
 export class Election {
   private deadline = 0;
   private startedAt: number | undefined;
-  private pre = false;
+  private isPreVoting = false;
   private grantedBy = new Set<string>();
 
   constructor(
@@ -28,7 +28,7 @@
 
   /** Whether the votes are pre-votes, which change no term. */
   get isPreVote(): boolean {
-    return this.pre;
+    return this.isPreVoting;
   }
 
   get votes(): ReadonlySet<string> {
@@ -47,7 +47,7 @@
 
   /** Shortens the timer of a process that just started and knows no leader. */
   retrySoon(now: number): void {
-    const fraction = this.pre
+    const fraction = this.isPreVoting
       ? STARTUP_PRE_VOTE_FRACTION
       : STARTUP_VOTE_FRACTION;
     const sinceStart = now - (this.startedAt ?? now);
@@ -64,8 +64,8 @@
     return now >= this.deadline;
   }
 
-  begin(pre: boolean, self: string): void {
-    this.pre = pre;
+  begin(isPreVote: boolean, self: string): void {
+    this.isPreVoting = isPreVote;
     this.grantedBy = new Set([self]);
   }
 
--- a/src/services/consensus/node/frames.ts
+++ b/src/services/consensus/node/frames.ts
@@ -36,7 +36,7 @@
     offset += HEADER_BYTES + payload.length;
   }
   const damagedOffset = hasFrameAfter(file, offset) ? offset : undefined;
-  return {payloads, validBytes: offset, damagedOffset: damagedOffset};
+  return {payloads, validBytes: offset, damagedOffset};
 }
 
 function frameAt(file: Buffer, offset: number): Buffer | undefined {
--- a/src/services/consensus/node/join_requests.ts
+++ b/src/services/consensus/node/join_requests.ts
@@ -7,19 +7,19 @@
   join(
     address: string,
     request: JoinRequest,
-    onDidAnswer: (reply: JoinReply) => void,
+    onDidReply: (reply: JoinReply) => void,
   ): void;
 }
 
 const REQUEST_INTERVAL_MS = 500;
 
 /**
- * Requests to join the control group from all configured addresses until this
- * instance is a voter.
+ * Sends join requests to all configured control instances until this instance
+ * is a voter.
  *
- * Guard: only the leader accepts a request, and it may not be configured here.
- * Replies name it, and it gets a request too: an instance that lost its disk
- * could otherwise not rejoin before the leader changes.
+ * Guard: only the leader accepts a request, and its address may not be
+ * configured. Replies name it, and it gets a request too; an instance that lost
+ * its disk could otherwise not rejoin before the leader changes.
  */
 export function requestJoinUntilVoter(
   self: JoinRequest,
--- a/src/services/consensus/node/peer_links.ts
+++ b/src/services/consensus/node/peer_links.ts
@@ -84,9 +84,9 @@
   join(
     address: string,
     request: JoinRequest,
-    onDidAnswer: (reply: JoinReply) => void,
+    onDidReply: (reply: JoinReply) => void,
   ): void {
-    this.joinCallbacks.set(address, onDidAnswer);
+    this.joinCallbacks.set(address, onDidReply);
     this.linkTo(address).write({body: {$case: 'join', value: request}});
   }
 
--- a/src/services/consensus/test/common/consensus.test.ts
+++ b/src/services/consensus/test/common/consensus.test.ts
@@ -99,22 +99,22 @@
   it('confirms nothing, steps down and does not depose its successor', () => {
     const group = new ConsensusSimulation(3, new SeededRandom(7));
     group.run(1_000);
-    const old = group.leader!;
-    old.isOffline = true;
-    const confirmation = group.confirm(old);
+    const oldLeader = group.leader!;
+    oldLeader.isOffline = true;
+    const confirmation = group.confirm(oldLeader);
     group.run(2_000);
-    const next = group.leader!;
-    expect(next.id).not.toBe(old.id);
-    const committed = group.propose(next, 'meanwhile');
+    const newLeader = group.leader!;
+    expect(newLeader.id).not.toBe(oldLeader.id);
+    const committed = group.propose(newLeader, 'meanwhile');
     group.run(200);
     expect(group.outcomes.get(committed)).toBe('committed');
     expect(group.outcomes.get(confirmation)).not.toBe('confirmed');
-    expect(old.core!.role).not.toBe('leader');
-    const term = next.core!.currentTerm;
-    old.isOffline = false;
+    expect(oldLeader.core!.role).not.toBe('leader');
+    const term = newLeader.core!.currentTerm;
+    oldLeader.isOffline = false;
     group.run(1_000);
-    expect(group.leader!.id).toBe(next.id);
-    expect(next.core!.currentTerm).toBe(term);
+    expect(group.leader!.id).toBe(newLeader.id);
+    expect(newLeader.core!.currentTerm).toBe(term);
     expect(group.violations).toEqual([]);
   });
 
@@ -141,16 +141,18 @@
     const core = group.leader!.core!;
     const peers = core.configuration.peers;
     const follower = peers.find(({id}) => id !== core.id)!;
-    const without = {peers: peers.filter(peer => peer !== follower)};
-    const one = {peers: [core.id].map(id => peers.find(p => p.id === id)!)};
-    const refusal = (configuration: typeof one) => {
+    const oneRemoved = {peers: peers.filter(peer => peer !== follower)};
+    const twoRemoved = {
+      peers: [core.id].map(id => peers.find(p => p.id === id)!),
+    };
+    const findRefusal = (configuration: typeof twoRemoved) => {
       const event = {kind: 'changeConfiguration', configuration} as const;
       const effects = core.step({...event, requestId: 900}, group.now);
       return effects.find(effect => effect.kind === 'refused')?.reason;
     };
-    expect(refusal(one)).toBe('change in progress');
-    expect(refusal(without)).toBeUndefined();
-    expect(refusal({peers})).toBe('change in progress');
+    expect(findRefusal(twoRemoved)).toBe('change in progress');
+    expect(findRefusal(oneRemoved)).toBeUndefined();
+    expect(findRefusal({peers})).toBe('change in progress');
   });
 });
 
@@ -285,9 +287,9 @@
       const majorityStartedAt = startTimes.sort((a, b) => a - b)[
         (count - 1) / 2
       ]!;
-      const leadsAt = group.runUntilLeader(5_000);
-      expect(leadsAt, `seed ${seed}`).toBeDefined();
-      if (leadsAt! - majorityStartedAt <= maxMs) soonCount++;
+      const leaderElectedAt = group.runUntilLeader(5_000);
+      expect(leaderElectedAt, `seed ${seed}`).toBeDefined();
+      if (leaderElectedAt! - majorityStartedAt <= maxMs) soonCount++;
     }
     expect(soonCount).toBeGreaterThanOrEqual(95);
   });
@@ -298,8 +300,8 @@
     const group = new ConsensusSimulation(3, new SeededRandom(3));
     group.run(500);
     const leader = group.leader!;
-    const behind = group.members.find(member => member !== leader)!;
-    behind.isOffline = true;
+    const outdated = group.members.find(member => member !== leader)!;
+    outdated.isOffline = true;
     group.propose(leader, 'news');
     group.run(100);
     for (const member of group.members) {
@@ -307,15 +309,15 @@
       member.isOffline = false;
       group.restart(member);
     }
-    const {currentTerm} = behind.core!;
+    const {currentTerm} = outdated.core!;
     let hasCampaigned = false;
     for (let step = 0; step < 20; step++) {
       group.now += 10;
-      group.tick(behind);
-      hasCampaigned ||= behind.core!.role === 'candidate';
+      group.tick(outdated);
+      hasCampaigned ||= outdated.core!.role === 'candidate';
       while (group.inFlight.length > 0) group.deliver(0);
     }
     expect(hasCampaigned).toBe(true);
-    expect(behind.core!.currentTerm).toBe(currentTerm);
+    expect(outdated.core!.currentTerm).toBe(currentTerm);
   });
 });
--- a/src/services/consensus/test/common/consensus_simulation.ts
+++ b/src/services/consensus/test/common/consensus_simulation.ts
@@ -93,7 +93,7 @@
     return requestId;
   }
 
-  /** Requests confirmation, which must not be of an index committed before. */
+  /** Requests confirmation, which has to cover all that is committed now. */
   confirm(member: SimulatedMember): number {
     const requestId = ++this.lastRequestId;
     this.minConfirmedIndex.set(
