--- a/src/proxy/common/outcome_codes.ts
+++ b/src/proxy/common/diagnostics.ts
@@ -1,5 +1,5 @@
 import type {Diagnostic} from '../../services/wire/common/backend';
-import type {NotRun, NotRunReason} from './not_run';
+import type {NotRun, NotRunReason} from './checkout_refusal';
 
 /**
  * What a caller is told apart by SQLSTATE. Class RN: the request was not run,
--- a/src/proxy/node/batch_runner.ts
+++ b/src/proxy/node/batch_runner.ts
@@ -15,9 +15,9 @@
   readInterrupted,
   unknownError,
   NOT_RUN_LOST_WITH_TERM,
-} from '../common/outcome_codes';
+} from '../common/diagnostics';
 import {Exchange, type ExchangeEnd} from './exchange';
-import {acknowledge, Place} from './place';
+import {acknowledge, Place} from './checked_out_connection';
 import {classSettingsOf, type SessionContext} from './session_context';
 
 /** A target that is no primary says so with this, having run nothing. */
--- a/src/proxy/node/caller_server.ts
+++ b/src/proxy/node/caller_server.ts
@@ -20,7 +20,7 @@
   type Diagnostic,
 } from '../../services/wire/common/backend';
 import {FrameConnection} from '../../services/wire/node/frame_connection';
-import {fatal, NOT_RUN_SHUTTING_DOWN} from '../common/outcome_codes';
+import {fatal, NOT_RUN_SHUTTING_DOWN} from '../common/diagnostics';
 import {CallerSession} from './caller_session';
 import type {ProxyServices} from './proxy_services';
 import {SessionMeter, type RequestMeter} from './request_meter';
--- a/src/proxy/node/caller_session.ts
+++ b/src/proxy/node/caller_session.ts
@@ -17,7 +17,7 @@
   fatal,
   NOT_RUN_SHUTTING_DOWN,
   unsupportedError,
-} from '../common/outcome_codes';
+} from '../common/diagnostics';
 import {BatchRunner} from './batch_runner';
 import {KeyedWrite} from './keyed_write';
 import {encodeLocalAnswer, runLocally} from './local_statement';
--- a/src/proxy/node/place.ts
+++ b/src/proxy/node/checked_out_connection.ts
@@ -2,9 +2,9 @@
 import {Reply, type Task} from '../../base/node/task';
 import type {CommitOutcome} from '../../services/confirmation/common/pending_commits';
 import type {Position} from '../../services/position/common/position';
-import type {NotRun} from '../common/not_run';
-import type {Grant} from './request';
-import {runOwnQuery, succeeded} from './own_query';
+import type {NotRun} from '../common/checkout_refusal';
+import type {Grant} from './checkout_request';
+import {runOwnQuery, succeeded} from './internal_query';
 import {describeRequest, type SessionContext} from './session_context';
 
 /** A transaction's hold on a connection of a target. */
--- a/src/proxy/node/request.ts
+++ b/src/proxy/node/checkout_request.ts
@@ -1,7 +1,7 @@
 import type {ClassName, InstanceId, ServiceName} from '../../base/common/ids';
 import type {Result} from '../../base/common/outcome';
 import type {QueuedRequest} from '../../services/admission/common/fair_queue';
-import type {NotRun} from '../common/not_run';
+import type {NotRun} from '../common/checkout_refusal';
 import type {TargetConnection} from '../../services/pool/node/target_connection';
 import type {Position} from '../../services/position/common/position';
 import type {RouteReason} from '../../services/routing/common/route_read';
--- a/src/proxy/node/keyed_write.ts
+++ b/src/proxy/node/keyed_write.ts
@@ -10,15 +10,15 @@
   type Diagnostic,
 } from '../../services/wire/common/backend';
 import {BatchEncoder, type BatchMessage} from '../common/batch';
-import {notRunError, unknownError} from '../common/outcome_codes';
+import {notRunError, unknownError} from '../common/diagnostics';
 import {Exchange, type AnswerSink, type ExchangeEnd} from './exchange';
 import {
   quoteLiteral,
   runOwnQuery,
   succeeded,
   type OwnAnswer,
-} from './own_query';
-import {acknowledge, Place} from './place';
+} from './internal_query';
+import {acknowledge, Place} from './checked_out_connection';
 import {classSettingsOf, type SessionContext} from './session_context';
 
 const TABLE = 'bulrush_requests';
--- a/src/proxy/node/service_router.ts
+++ b/src/proxy/node/service_router.ts
@@ -43,11 +43,11 @@
   type ServiceRecord,
   type FailureReport,
 } from '../../schema/generated/control';
-import {ArrivalPositions} from '../common/arrival';
-import {ArrivalQuestion} from '../common/arrival_question';
-import type {NotRun} from '../common/not_run';
-import type {Grant, PlaceRequest} from './request';
-import {DispatchView} from './dispatch_view';
+import {ArrivalPositions} from '../common/initial_positions';
+import {ArrivalQuestion} from '../common/position_poll';
+import type {NotRun} from '../common/checkout_refusal';
+import type {Grant, PlaceRequest} from './checkout_request';
+import {DispatchView} from './candidate_cache';
 import {ServiceTargets} from './service_targets';
 
 const TICK_MS = 25;
--- a/src/proxy/node/session_context.ts
+++ b/src/proxy/node/session_context.ts
@@ -5,7 +5,7 @@
 import type {ClassSettings} from '../../services/settings/common/settings';
 import type {FrameConnection} from '../../services/wire/node/frame_connection';
 import type {NamedStatements} from '../common/batch';
-import type {PlaceRequest} from './request';
+import type {PlaceRequest} from './checkout_request';
 import type {SessionMeter} from './request_meter';
 import type {ServiceRouter} from './service_router';
 
--- a/src/proxy/test/common/arrival.test.ts
+++ b/src/proxy/test/common/initial_positions.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {instanceId} from '../../../base/common/ids';
 import {replicaStatus as status} from '../../../services/announcement/test/common/status_fixture';
-import {ArrivalPositions} from '../../common/arrival';
+import {ArrivalPositions} from '../../common/initial_positions';
 
 const [A, B] = [instanceId('a'), instanceId('b')];
 
