--- a/src/proxy/common/batch.ts
+++ b/src/proxy/common/batch.ts
@@ -10,99 +10,103 @@
   type FrontendMessage,
 } from '../../services/wire/common/frontend';
 
-/** A prepared statement of a session. */
-export interface NamedStatement {
+/** A prepared statement of a session, as its Parse message gave it. */
+export interface PreparedStatement {
   readonly text: string;
+  /** The Parse message after the text: the parameter types. */
   readonly rest: Buffer;
 }
 
-/** One message of a caller with its frame. */
+/** One message of a caller, decoded and as received. */
 export interface BatchMessage {
   readonly message: FrontendMessage;
   readonly frame: Frame;
 }
 
-/** What is known of a connection's prepared statements. */
-export interface PreparedNames {
+/** Names of the statements prepared on a connection, by text and types. */
+export interface ConnectionStatements {
   get(key: string): string | undefined;
   set(key: string, name: string): unknown;
   readonly size: number;
 }
 
-/** What goes to a target for a batch. */
+/** A batch as it is sent to a target. */
 export interface OutgoingBatch {
   readonly bytes: Buffer;
-  /** For each Parse sent, whether the caller is to see its answer. */
-  readonly shownParses: boolean[];
-  /** CloseComplete answers that the caller is not to see. */
-  readonly hiddenCloses: number;
+  /** For each Parse sent, whether its ParseComplete goes to the caller. */
+  readonly relayedParses: boolean[];
+  /** How many CloseComplete messages don't go to the caller. */
+  readonly hiddenCloseCount: number;
 }
 
+/** Statement name that is parsed and closed, but never bound. */
 const SCRATCH_NAME = 'bulrush_scratch';
 const CLOSE_SCRATCH = encodeFrame('C', Buffer.from(`S${SCRATCH_NAME}\0`));
 
-/** What a batch does, taken together. */
+/** The statements of a batch and what they require together. */
 export interface BatchPlan {
   readonly statements: readonly StatementClass[];
   readonly isRead: boolean;
+  /** A feature of the batch that pooled connections cannot support. */
   readonly unsupported: string | undefined;
 }
 
-/** The session's statements by name; '' is the unnamed one. */
-export type NamedStatements = Map<string, NamedStatement>;
+/** Prepared statements of a session by name; '' is the unnamed one. */
+export type PreparedStatements = Map<string, PreparedStatement>;
 
-/** The classes of all statements that a batch runs. */
+/** Classifies all statements that a batch parses or runs. */
 export function planBatch(
   messages: readonly BatchMessage[],
-  named: NamedStatements,
+  sessionStatements: PreparedStatements,
   classifier: Classifier,
 ): BatchPlan {
   const statements = messages.flatMap(({message}) => {
-    return statementsOf(message, named, classifier);
+    return classifyMessage(message, sessionStatements, classifier);
   });
   return {
     statements,
     isRead: statements.every(({kind}) => kind === 'read' || kind === 'show'),
-    unsupported: unsupportedIn(statements),
+    unsupported: findUnsupported(statements),
   };
 }
 
-/** Takes note of what a Parse or Close does to the session's names. */
-export function noteNames(
+/** Applies a Parse or Close to the prepared statements of a session. */
+export function updateStatements(
   message: FrontendMessage,
-  named: NamedStatements,
+  statements: PreparedStatements,
 ): void {
   if (message.kind === 'parse') {
     const {name, text, rest} = message;
-    named.set(name, {text, rest: Buffer.from(rest)});
+    statements.set(name, {text, rest: Buffer.from(rest)});
   }
   if (message.kind === 'close' && message.objectKind === 'statement') {
-    named.delete(message.name);
+    statements.delete(message.name);
   }
 }
 
 /**
- * Rewrites a batch for one connection. Names of prepared statements are the
- * session's; the connection has names of its own, since others use it too.
+ * Encodes a batch for one connection. Sessions share connections, so each
+ * statement name of the session is replaced by the connection's name for the
+ * same text and types.
  */
 export class BatchEncoder {
-  private readonly parts: Buffer[] = [];
-  private readonly shownParses: boolean[] = [];
-  private hiddenCloses = 0;
-  private unnamed: string | undefined;
+  private readonly chunks: Buffer[] = [];
+  private readonly relayedParses: boolean[] = [];
+  private hiddenCloseCount = 0;
+  private unnamedKey: string | undefined;
 
   constructor(
-    private readonly named: NamedStatements,
-    private readonly prepared: PreparedNames,
+    private readonly sessionStatements: PreparedStatements,
+    private readonly connectionStatements: ConnectionStatements,
   ) {}
 
   encode(messages: readonly BatchMessage[]): OutgoingBatch {
     for (const {message, frame} of messages) this.add(message, frame);
     return {
       bytes:
-        this.parts.length === 1 ? this.parts[0]! : Buffer.concat(this.parts),
-      shownParses: this.shownParses,
-      hiddenCloses: this.hiddenCloses,
+        this.chunks.length === 1 ? this.chunks[0]! : Buffer.concat(this.chunks),
+      relayedParses: this.relayedParses,
+      hiddenCloseCount: this.hiddenCloseCount,
     };
   }
 
@@ -115,7 +119,7 @@
       case 'describe':
         return this.addDescribe(message, frame);
       default:
-        this.parts.push(frame.bytes);
+        this.chunks.push(frame.bytes);
     }
   }
 
@@ -124,29 +128,29 @@
     frame: Frame,
   ): void {
     const {name, text, rest} = message;
-    this.shownParses.push(true);
+    this.relayedParses.push(true);
     if (name === '') {
-      this.unnamed = keyOf(message);
-      this.parts.push(frame.bytes);
+      this.unnamedKey = statementKey(message);
+      this.chunks.push(frame.bytes);
       return;
     }
-    // It may be prepared here already for somebody else: then it is parsed
-    // once more under a name that nobody binds, so that the answer is real.
-    if (this.prepared.get(keyOf(message))) {
-      this.hiddenCloses++;
-      this.parts.push(CLOSE_SCRATCH, encodeParse(SCRATCH_NAME, text, rest));
+    // A statement that is already prepared on the connection is parsed under
+    // a scratch name, so that the caller gets the target's own reply.
+    if (this.connectionStatements.get(statementKey(message))) {
+      this.hiddenCloseCount++;
+      this.chunks.push(CLOSE_SCRATCH, encodeParse(SCRATCH_NAME, text, rest));
       return;
     }
-    this.parts.push(encodeParse(this.newName(message), text, rest));
+    this.chunks.push(encodeParse(this.addName(message), text, rest));
   }
 
   private addBind(
     message: FrontendMessage & {kind: 'bind'},
     frame: Frame,
   ): void {
-    const name = this.nameHere(message.statement);
-    if (name === message.statement) this.parts.push(frame.bytes);
-    else this.parts.push(encodeBind(message.portal, name, message.rest));
+    const name = this.connectionNameOf(message.statement);
+    if (name === message.statement) this.chunks.push(frame.bytes);
+    else this.chunks.push(encodeBind(message.portal, name, message.rest));
   }
 
   private addDescribe(
@@ -154,47 +158,49 @@
     frame: Frame,
   ): void {
     if (message.objectKind === 'portal') {
-      this.parts.push(frame.bytes);
+      this.chunks.push(frame.bytes);
       return;
     }
-    this.parts.push(encodeDescribeStatement(this.nameHere(message.name)));
+    this.chunks.push(
+      encodeDescribeStatement(this.connectionNameOf(message.name)),
+    );
   }
 
-  /** The connection's name of a statement, preparing it where needed. */
-  private nameHere(sessionName: string): string {
-    const statement = this.named.get(sessionName);
+  /** The connection's name of a statement, which is prepared if needed. */
+  private connectionNameOf(sessionName: string): string {
+    const statement = this.sessionStatements.get(sessionName);
     if (!statement) return sessionName;
     const {text, rest} = statement;
     if (sessionName === '') {
-      if (this.unnamed !== keyOf(statement)) {
-        this.unnamed = keyOf(statement);
-        this.shownParses.push(false);
-        this.parts.push(encodeParse('', text, rest));
+      if (this.unnamedKey !== statementKey(statement)) {
+        this.unnamedKey = statementKey(statement);
+        this.relayedParses.push(false);
+        this.chunks.push(encodeParse('', text, rest));
       }
       return '';
     }
-    const known = this.prepared.get(keyOf(statement));
-    if (known) return known;
-    const name = this.newName(statement);
-    this.shownParses.push(false);
-    this.parts.push(encodeParse(name, text, rest));
+    const existingName = this.connectionStatements.get(statementKey(statement));
+    if (existingName) return existingName;
+    const name = this.addName(statement);
+    this.relayedParses.push(false);
+    this.chunks.push(encodeParse(name, text, rest));
     return name;
   }
 
-  private newName(statement: NamedStatement): string {
-    const name = `bulrush_${this.prepared.size + 1}`;
-    this.prepared.set(keyOf(statement), name);
+  private addName(statement: PreparedStatement): string {
+    const name = `bulrush_${this.connectionStatements.size + 1}`;
+    this.connectionStatements.set(statementKey(statement), name);
     return name;
   }
 }
 
-function keyOf({text, rest}: NamedStatement): string {
+function statementKey({text, rest}: PreparedStatement): string {
   return `${text}\0${rest.toString('latin1')}`;
 }
 
-function statementsOf(
+function classifyMessage(
   message: FrontendMessage,
-  named: NamedStatements,
+  sessionStatements: PreparedStatements,
   classifier: Classifier,
 ): readonly StatementClass[] {
   if (message.kind === 'query') {
@@ -204,12 +210,12 @@
     return classifier.classify(message.text).statements;
   }
   if (message.kind !== 'bind') return [];
-  const statement = named.get(message.statement);
+  const statement = sessionStatements.get(message.statement);
   if (!statement) return [{kind: 'write'}];
   return classifier.classify(statement.text).statements;
 }
 
-function unsupportedIn(
+function findUnsupported(
   statements: readonly StatementClass[],
 ): string | undefined {
   for (const statement of statements) {
@@ -219,9 +225,9 @@
   return isMixed ? 'COMMIT or ROLLBACK before the end of a batch' : undefined;
 }
 
-/** A commit that is followed by other work in the same batch. */
+/** Whether a COMMIT or ROLLBACK is followed by other statements. */
 function hasInnerCommit(statements: readonly StatementClass[]): boolean {
-  const ends = (kind: string) => kind === 'commit' || kind === 'rollback';
-  const at = statements.findIndex(({kind}) => ends(kind));
-  return at >= 0 && statements.slice(at).some(({kind}) => !ends(kind));
+  const isEnd = (kind: string) => kind === 'commit' || kind === 'rollback';
+  const end = statements.findIndex(({kind}) => isEnd(kind));
+  return end >= 0 && statements.slice(end).some(({kind}) => !isEnd(kind));
 }
--- a/src/proxy/common/checkout_refusal.ts
+++ b/src/proxy/common/checkout_refusal.ts
@@ -1,11 +1,12 @@
-/** Why a request was not run, for the caller. */
-export interface NotRun {
-  readonly reason: NotRunReason;
-  /** When to come back, in milliseconds. */
+/** Why a request got no connection, as reported to its caller. */
+export interface CheckoutRefusal {
+  readonly reason: RefusalReason;
+  /** Retry delay, in milliseconds. */
   readonly retryAfterMs: number;
 }
 
-export type NotRunReason =
+/** Part of the error message that the caller gets. */
+export type RefusalReason =
   | 'queue full'
   | 'deadline cannot be met'
   | 'deadline passed'
--- a/src/proxy/common/diagnostics.ts
+++ b/src/proxy/common/diagnostics.ts
@@ -1,9 +1,9 @@
 import type {Diagnostic} from '../../services/wire/common/backend';
-import type {NotRun, NotRunReason} from './checkout_refusal';
+import type {CheckoutRefusal, RefusalReason} from './checkout_refusal';
 
 /**
- * What a caller is told apart by SQLSTATE. Class RN: the request was not run,
- * provably; it may be sent again. 08007: whether it ran is unknown.
+ * SQLSTATEs of the proxy's own errors. Class RN: the request had no effect and
+ * may be sent again. 08007: the outcome is unknown.
  */
 export const NOT_RUN_OVERLOADED = 'RN001';
 export const NOT_RUN_NO_PRIMARY = 'RN002';
@@ -12,7 +12,7 @@
 export const NOT_RUN_LOST_WITH_TERM = 'RN005';
 export const OUTCOME_UNKNOWN = '08007';
 
-const CODES: Record<NotRunReason, string> = {
+const REFUSAL_CODES: Record<RefusalReason, string> = {
   'queue full': NOT_RUN_OVERLOADED,
   'deadline cannot be met': NOT_RUN_OVERLOADED,
   'deadline passed': NOT_RUN_OVERLOADED,
@@ -21,27 +21,30 @@
   'shutting down': NOT_RUN_SHUTTING_DOWN,
 };
 
-/** The error of a request that was refused before it ran. */
-export function notRunError({reason, retryAfterMs}: NotRun): Diagnostic {
+/** The error of a request that was refused before it reached a target. */
+export function notRunError({
+  reason,
+  retryAfterMs,
+}: CheckoutRefusal): Diagnostic {
   return {
     severity: 'ERROR',
-    code: CODES[reason],
+    code: REFUSAL_CODES[reason],
     message: `not run: ${reason}`,
     hint: `retry after ${retryAfterMs} ms`,
   };
 }
 
-/** The error of a statement that a shared connection cannot serve. */
-export function unsupportedError(what: string): Diagnostic {
+/** The error of a statement that pooled connections cannot support. */
+export function unsupportedError(feature: string): Diagnostic {
   return {
     severity: 'ERROR',
     code: NOT_RUN_UNSUPPORTED,
-    message: `not run: ${what} is not supported through the proxy`,
+    message: `not run: ${feature} is not supported through the proxy`,
   };
 }
 
-/** The error of a write whose end is not known. */
-export function unknownError(): Diagnostic {
+/** The error of a write whose outcome is unknown. */
+export function unknownOutcomeError(): Diagnostic {
   return {
     severity: 'ERROR',
     code: OUTCOME_UNKNOWN,
@@ -50,8 +53,8 @@
   };
 }
 
-/** The error of a commit that went down with its primary. */
-export function lostError(): Diagnostic {
+/** The error of a commit that was undone by a change of primary. */
+export function undoneWriteError(): Diagnostic {
   return {
     severity: 'ERROR',
     code: NOT_RUN_LOST_WITH_TERM,
@@ -60,8 +63,8 @@
   };
 }
 
-/** The error of a statement whose read was cut off. */
-export function readInterrupted(): Diagnostic {
+/** The error of a read whose target was lost in the middle of its reply. */
+export function readInterruptedError(): Diagnostic {
   return {
     severity: 'ERROR',
     code: '57P01',
@@ -70,7 +73,7 @@
   };
 }
 
-/** The error that ends a session. */
-export function fatal(code: string, message: string): Diagnostic {
+/** A FATAL error: the session ends with it. */
+export function fatalError(code: string, message: string): Diagnostic {
   return {severity: 'FATAL', code, message};
 }
--- a/src/proxy/common/initial_positions.ts
+++ b/src/proxy/common/initial_positions.ts
@@ -7,53 +7,56 @@
 } from '../../services/position/common/position';
 import type {TargetStatus} from '../../schema/generated/announcement';
 
-interface Answer {
-  readonly askedAt: number;
+/** The status of a target in reply to a request. */
+interface PositionReply {
+  readonly requestedAt: number;
   readonly status: TargetStatus;
 }
 
 /**
- * The position that a session must see that brought none along.
+ * The minimum position of a new session that did not pass one.
  *
- * Guard against a session that moved between proxies and does not see its own
- * writes: it is held to what the group held when it arrived. All that was
- * acknowledged before is at or below what the primary says after the arrival,
- * while this proxy's lease proves that it is still the primary; or at or below
- * the newest that enough members say, whoever is primary.
+ * Guard: a session that moves here from another proxy sees its own writes.
+ * Every write acknowledged before it connected is covered by a later status of
+ * the leased primary, or by the newest of later statuses of a read quorum.
  */
-export class ArrivalPositions {
-  private primary: Answer | undefined;
-  private readonly members = new Map<InstanceId, Answer>();
+export class InitialPositions {
+  private primary: PositionReply | undefined;
+  private readonly members = new Map<InstanceId, PositionReply>();
 
-  /** A primary under a lease answered with its position. */
-  onPrimary(askedAt: number, status: TargetStatus): void {
-    this.primary = {askedAt, status};
+  /** Records a status of the primary, requested while its lease was held. */
+  onPrimary(requestedAt: number, status: TargetStatus): void {
+    this.primary = {requestedAt, status};
   }
 
-  /** Any member with its data answered with what it holds. */
-  onMember(instance: InstanceId, askedAt: number, status: TargetStatus): void {
-    this.members.set(instance, {askedAt, status});
+  /** Records a status of a member that has the service's data. */
+  onMember(
+    instance: InstanceId,
+    requestedAt: number,
+    status: TargetStatus,
+  ): void {
+    this.members.set(instance, {requestedAt, status});
   }
 
   onClosed(instance: InstanceId): void {
     this.members.delete(instance);
   }
 
-  /** What a session that arrived then must see; undefined while unknown. */
-  since(arrivedAt: number, membersNeeded: number): Position | undefined {
-    if (this.primary && this.primary.askedAt >= arrivedAt) {
+  /** What a session must see that connected then; undefined if unknown. */
+  minPosition(connectedAt: number, readQuorum: number): Position | undefined {
+    if (this.primary && this.primary.requestedAt >= connectedAt) {
       return logEnd(this.primary.status);
     }
-    const answers = [...this.members.values()].filter(({askedAt}) => {
-      return askedAt >= arrivedAt;
+    const replies = [...this.members.values()].filter(({requestedAt}) => {
+      return requestedAt >= connectedAt;
     });
-    const [first, ...others] = answers.map(({status}) => status);
-    if (!first || answers.length < membersNeeded) return undefined;
-    return logEnd(others.reduce(newer, first));
+    const [first, ...rest] = replies.map(({status}) => status);
+    if (!first || replies.length < readQuorum) return undefined;
+    return logEnd(rest.reduce(newerLog, first));
   }
 }
 
-function newer(a: TargetStatus, b: TargetStatus): TargetStatus {
+function newerLog(a: TargetStatus, b: TargetStatus): TargetStatus {
   const order = comparePositions(heldPosition(b), heldPosition(a));
   return order > 0 ? b : a;
 }
--- a/src/proxy/common/position_poll.ts
+++ b/src/proxy/common/position_poll.ts
@@ -1,43 +1,42 @@
 import type {Clock} from '../../base/common/clock';
 
-/** A question that nobody answered is asked again after this time. */
-const PATIENCE_MS = 50;
+/** A poll without a reply ends after this time. */
+const REPLY_TIMEOUT_MS = 50;
 
 /**
- * Asks a service's targets for their positions on behalf of sessions that
- * arrive. One question is under way at a time and the sessions that arrive
- * meanwhile share the next: a mass reconnect costs a question for each round
- * trip, not one for each session.
+ * Polls the targets of a service for their positions, for new sessions. One
+ * poll is pending at a time and later sessions share the next one, so that a
+ * mass reconnect causes one poll per round trip instead of one per session.
  */
-export class ArrivalQuestion {
-  private askedAt: number | undefined;
-  private wanted = false;
+export class PositionPoll {
+  private sentAt: number | undefined;
+  private isNextRequested = false;
 
   constructor(
     private readonly clock: Clock,
-    private readonly ask: () => void,
+    private readonly pingTargets: () => void,
   ) {}
 
-  /** A session needs an answer to a question asked from now on. */
-  want(): void {
-    if (this.askedAt === undefined) this.askNow();
-    else this.wanted = true;
+  /** Requests positions that targets report after this call. */
+  request(): void {
+    if (this.sentAt === undefined) this.send();
+    else this.isNextRequested = true;
   }
 
-  /** An answer came to what was asked at a time. */
-  onAnswer(askedAt: number): void {
-    if (this.askedAt === undefined || askedAt < this.askedAt) return;
-    this.askedAt = undefined;
-    if (this.wanted) this.askNow();
+  /** Handles a reply to a ping sent at a time on the monotonic clock. */
+  onReply(requestedAt: number): void {
+    if (this.sentAt === undefined || requestedAt < this.sentAt) return;
+    this.sentAt = undefined;
+    if (this.isNextRequested) this.send();
   }
 
   onTick(now: number): void {
-    this.onAnswer(now - PATIENCE_MS);
+    this.onReply(now - REPLY_TIMEOUT_MS);
   }
 
-  private askNow(): void {
-    this.wanted = false;
-    this.askedAt = this.clock.now();
-    this.ask();
+  private send(): void {
+    this.isNextRequested = false;
+    this.sentAt = this.clock.now();
+    this.pingTargets();
   }
 }
--- a/src/proxy/node/batch_runner.ts
+++ b/src/proxy/node/batch_runner.ts
@@ -10,119 +10,133 @@
 } from '../../services/wire/common/backend';
 import {BatchEncoder, type BatchMessage, type BatchPlan} from '../common/batch';
 import {
-  lostError,
+  undoneWriteError,
   notRunError,
-  readInterrupted,
-  unknownError,
+  readInterruptedError,
+  unknownOutcomeError,
   NOT_RUN_LOST_WITH_TERM,
 } from '../common/diagnostics';
 import {Exchange, type ExchangeEnd} from './exchange';
-import {acknowledge, Place} from './checked_out_connection';
+import {waitForCommit, CheckedOutConnection} from './checked_out_connection';
 import {classSettingsOf, type SessionContext} from './session_context';
 
-/** A target that is no primary says so with this, having run nothing. */
+/** read_only_sql_transaction: the target is not a primary; nothing was run. */
 const READ_ONLY = '25006';
-const RETRY_MS = 15;
-const WARNING_OLDER = '01000';
+const RETRY_DELAY_MS = 15;
+const WARNING = '01000';
 
-/** Runs the batches of one session on targets. */
+/** Runs the batches of one session on targets and relays their replies. */
 export class BatchRunner {
-  private open: Place | undefined;
-  /** Where a batch is running now. */
-  private running: Place | undefined;
-  private partial: Exchange | undefined;
-  private failed = false;
+  /** The connection of an open transaction or partial batch. */
+  private pinned: CheckedOutConnection | undefined;
+  /** The connection on which a batch is running. */
+  private active: CheckedOutConnection | undefined;
+  private partialExchange: Exchange | undefined;
+  private hasFailed = false;
 
   constructor(private readonly context: SessionContext) {
-    // What runs for a caller that is gone would hold a place for nobody.
+    // A batch whose caller is gone must not occupy a connection.
     const {closedSignal: closed} = context.connection;
-    const stop = () => this.running?.connection.destroy();
+    const stop = () => this.active?.connection.destroy();
     closed.addEventListener('abort', stop, {once: true});
   }
 
-  /** A transaction is open on a target. */
+  /** Whether a transaction is open on a target. */
   get inTransaction(): boolean {
-    return this.open !== undefined;
+    return this.pinned !== undefined;
   }
 
-  /** A batch was sent in part, without its Sync. */
+  /** Whether a batch was sent in part, without its Sync. */
   get isPartial(): boolean {
-    return this.partial !== undefined;
+    return this.partialExchange !== undefined;
   }
 
-  /** Asks the target to give up what it runs for this session. */
+  /** Sends a cancel request for the running batch to its target. */
   cancel(): void {
-    this.running?.connection.cancel();
+    this.active?.connection.cancel();
   }
 
-  /** Runs a batch and answers it; false where it ended with an error. */
+  /** Runs a batch and replies to the caller; false if it failed. */
   *run(messages: readonly BatchMessage[], plan: BatchPlan): Task<boolean> {
-    this.failed = false;
-    yield* this.runAnywhere(messages, plan);
-    return !this.failed;
+    this.hasFailed = false;
+    yield* this.execute(messages, plan);
+    return !this.hasFailed;
   }
 
-  private *runAnywhere(
+  private *execute(
     messages: readonly BatchMessage[],
     plan: BatchPlan,
   ): Task<void> {
-    if (this.open) return yield* this.runOn(this.open, messages, plan);
-    const needs = plan.isRead || isReadOnlyBegin(plan) ? 'read' : 'write';
+    if (this.pinned) return yield* this.runPinned(this.pinned, messages, plan);
+    const access = plan.isRead || isReadOnlyBegin(plan) ? 'read' : 'write';
     const deadline = this.deadline();
     for (;;) {
-      const taken = yield* Place.take(this.context, needs, deadline);
-      if (taken.isErr) return this.refuse(notRunError(taken.error));
-      const again = yield* this.attempt(taken.value, messages, plan, deadline);
-      if (!again) return;
-      yield* pause(RETRY_MS);
+      const result = yield* CheckedOutConnection.checkOut(
+        this.context,
+        access,
+        deadline,
+      );
+      if (result.isErr) return this.sendError(notRunError(result.error));
+      const shouldRetry = yield* this.attempt(
+        result.value,
+        messages,
+        plan,
+        deadline,
+      );
+      if (!shouldRetry) return;
+      yield* pause(RETRY_DELAY_MS);
     }
   }
 
-  /** Sends a part of a batch whose Sync has not come yet, or refuses it. */
-  *runPart(
+  /** Sends a part of a batch ahead of its Sync; an error if it cannot. */
+  *runPartial(
     messages: readonly BatchMessage[],
     plan: BatchPlan,
   ): Task<Diagnostic | undefined> {
-    if (!this.open) {
-      const needs = plan.isRead ? 'read' : 'write';
+    if (!this.pinned) {
+      const access = plan.isRead ? 'read' : 'write';
       const deadline = this.deadline();
-      const taken = yield* Place.take(this.context, needs, deadline);
-      if (taken.isErr) return notRunError(taken.error);
-      this.open = taken.value;
-      if (!(yield* this.open.prepare())) {
-        yield* this.endLost();
-        return lostError();
+      const result = yield* CheckedOutConnection.checkOut(
+        this.context,
+        access,
+        deadline,
+      );
+      if (result.isErr) return notRunError(result.error);
+      this.pinned = result.value;
+      if (!(yield* this.pinned.applySettings())) {
+        yield* this.releaseLost();
+        return undoneWriteError();
       }
     }
-    const {connection} = this.open;
-    this.partial ??= new Exchange(
+    const {connection} = this.pinned;
+    this.partialExchange ??= new Exchange(
       connection,
       this.context.connection,
-      'hold the end',
+      'hold completion',
     );
     const encoder = new BatchEncoder(
-      this.context.named,
+      this.context.preparedStatements,
       connection.preparedStatements,
     );
-    this.partial.send(encoder.encode(messages), false);
+    this.partialExchange.send(encoder.encode(messages), false);
     return undefined;
   }
 
-  /** The connection of an open transaction was lost while it was idle. */
-  *endLost(): Task<void> {
-    yield* this.open?.release(false) ?? none();
-    this.open = undefined;
-    this.partial = undefined;
+  /** Releases the connection of an open transaction that was lost. */
+  *releaseLost(): Task<void> {
+    yield* this.pinned?.release(false) ?? doNothing();
+    this.pinned = undefined;
+    this.partialExchange = undefined;
   }
 
-  /** Ends an open transaction whose caller is gone. */
-  *abandon(): Task<void> {
-    const place = this.open;
-    this.open = undefined;
-    if (!place) return;
-    // The target rolls back what it ran when its connection goes.
-    place.connection.destroy();
-    yield* place.release(false);
+  /** Aborts an open transaction, if there is one. */
+  *abort(): Task<void> {
+    const checkedOut = this.pinned;
+    this.pinned = undefined;
+    if (!checkedOut) return;
+    // The target rolls back when its connection is closed.
+    checkedOut.connection.destroy();
+    yield* checkedOut.release(false);
   }
 
   private deadline(): number {
@@ -130,161 +144,167 @@
     return clock.now() + classSettingsOf(this.context).deadlineMs;
   }
 
-  /** Runs a batch on a fresh place; true where it may be tried again. */
+  /** Runs a batch on a new connection; true if it may be retried. */
   private *attempt(
-    place: Place,
+    checkedOut: CheckedOutConnection,
     messages: readonly BatchMessage[],
     plan: BatchPlan,
     deadline: number,
   ): Task<boolean> {
-    if (!(yield* place.prepare())) {
-      yield* place.release(false);
+    if (!(yield* checkedOut.applySettings())) {
+      yield* checkedOut.release(false);
       return true;
     }
-    const {grant} = place;
-    this.context.state.recordPosition(grant.required);
-    // What the session sets is for itself: the connection is cleaned after it.
-    const sets = plan.statements.some(({kind}) => kind === 'set');
-    if (sets) place.connection.isDirty = true;
-    const before = place.connection.preparedStatements.size;
-    const end = yield* this.exchange(place, messages, plan, deadline);
-    if (end.error && place.connection.preparedStatements.size !== before) {
-      // A Parse may have failed: the names are not to be relied on.
-      place.connection.isDirty = true;
+    const {checkout} = checkedOut;
+    this.context.state.recordPosition(checkout.minPosition);
+    // Settings of the session must not stay on the shared connection.
+    const hasSet = plan.statements.some(({kind}) => kind === 'set');
+    if (hasSet) checkedOut.connection.isDirty = true;
+    const statementCount = checkedOut.connection.preparedStatements.size;
+    const end = yield* this.exchange(checkedOut, messages, plan, deadline);
+    if (
+      end.error &&
+      checkedOut.connection.preparedStatements.size !== statementCount
+    ) {
+      // A Parse may have failed, so the recorded names may be wrong.
+      checkedOut.connection.isDirty = true;
     }
     if (end.status === undefined) {
-      yield* place.release(false);
-      return this.afterLoss(end, plan);
+      yield* checkedOut.release(false);
+      return this.onTargetLost(end, plan);
     }
-    const refused = end.error?.code === READ_ONLY && !end.relayed;
-    if (refused && !plan.isRead) {
-      yield* place.release(true);
+    const isReadOnly = end.error?.code === READ_ONLY && !end.isRelayed;
+    if (isReadOnly && !plan.isRead) {
+      yield* checkedOut.release(true);
       return true;
     }
-    yield* this.finish(place, end, deadline);
+    yield* this.finish(checkedOut, end, deadline);
     return false;
   }
 
-  /** What to do after a target was lost in the middle of a batch. */
-  private afterLoss(end: ExchangeEnd, plan: BatchPlan): boolean {
-    if (plan.isRead && !end.relayed) return true;
-    this.refuse(plan.isRead ? readInterrupted() : unknownError());
+  /** The target was lost in the middle of a batch; true to retry it. */
+  private onTargetLost(end: ExchangeEnd, plan: BatchPlan): boolean {
+    if (plan.isRead && !end.isRelayed) return true;
+    this.sendError(
+      plan.isRead ? readInterruptedError() : unknownOutcomeError(),
+    );
     return false;
   }
 
-  private *runOn(
-    place: Place,
+  private *runPinned(
+    checkedOut: CheckedOutConnection,
     messages: readonly BatchMessage[],
     plan: BatchPlan,
   ): Task<void> {
     const deadline = this.deadline();
-    const end = yield* this.exchange(place, messages, plan, deadline);
-    if (end.status === undefined) return yield* this.onLost(plan);
-    yield* this.finish(place, end, deadline);
+    const end = yield* this.exchange(checkedOut, messages, plan, deadline);
+    if (end.status === undefined) return yield* this.onTransactionLost(plan);
+    yield* this.finish(checkedOut, end, deadline);
   }
 
-  /** An open transaction went down with its target. */
-  private *onLost(plan: BatchPlan): Task<void> {
-    yield* this.endLost();
-    const commits = plan.statements.some(({kind}) => kind === 'commit');
-    if (commits) this.refuse(unknownError());
+  /** The target of an open transaction was lost. */
+  private *onTransactionLost(plan: BatchPlan): Task<void> {
+    yield* this.releaseLost();
+    const hasCommit = plan.statements.some(({kind}) => kind === 'commit');
+    if (hasCommit) this.sendError(unknownOutcomeError());
     else {
-      // COMMIT was never sent, so the target undoes what it ran.
+      // COMMIT was never sent, so the target rolls back.
       const message = 'not run: the transaction went down with its target';
       const hint = 'retry after 0 ms';
       const code = NOT_RUN_LOST_WITH_TERM;
-      this.refuse({severity: 'ERROR', code, message, hint});
+      this.sendError({severity: 'ERROR', code, message, hint});
     }
   }
 
   private *exchange(
-    place: Place,
+    checkedOut: CheckedOutConnection,
     messages: readonly BatchMessage[],
     plan: BatchPlan,
     deadline: number,
   ): Task<ExchangeEnd> {
-    const {connection} = place;
-    const mode = place.grant.onPrimary && !plan.isRead;
+    const {connection} = checkedOut;
+    const isWrite = checkedOut.checkout.isOnPrimary && !plan.isRead;
     const exchange =
-      this.partial ??
+      this.partialExchange ??
       new Exchange(
         connection,
         this.context.connection,
-        mode ? 'hold the end' : 'through',
+        isWrite ? 'hold completion' : 'with ReadyForQuery',
       );
-    this.partial = undefined;
-    this.warnIfOlder(place);
+    this.partialExchange = undefined;
+    this.warnIfStale(checkedOut);
     const encoder = new BatchEncoder(
-      this.context.named,
+      this.context.preparedStatements,
       connection.preparedStatements,
     );
     exchange.send(encoder.encode(messages), true);
     const timer = setTimeout(() => {
-      // Accepts but never answers: what it holds is given up, so that the
-      // caller hears now that it is unknown.
-      if (!exchange.hasAnswer) connection.destroy();
-    }, this.patience(deadline));
-    this.running = place;
+      // The target may hang: the caller gets an unknown outcome in time.
+      if (!exchange.hasReply) connection.destroy();
+    }, this.remainingMs(deadline));
+    this.active = checkedOut;
     if (this.context.connection.closedSignal.aborted) connection.destroy();
     const end = yield* exchange.wait();
-    this.running = undefined;
+    this.active = undefined;
     clearTimeout(timer);
     return end;
   }
 
-  private patience(deadline: number): number {
+  private remainingMs(deadline: number): number {
     return Math.max(0, deadline - this.context.clock.now());
   }
 
-  private warnIfOlder({grant}: Place): void {
-    if (grant.reason !== 'older replica with notice') return;
+  private warnIfStale({checkout}: CheckedOutConnection): void {
+    if (checkout.reason !== 'older replica with notice') return;
     const age =
-      grant.ageMs === Infinity ? 'unknown' : `${Math.round(grant.ageMs)} ms`;
+      checkout.ageMs === Infinity
+        ? 'unknown'
+        : `${Math.round(checkout.ageMs)} ms`;
     this.context.connection.send(
       encodeNotice({
         severity: 'WARNING',
-        code: WARNING_OLDER,
+        code: WARNING,
         message: `figures may be older than accepted: ${age}`,
       }),
     );
   }
 
   private *finish(
-    place: Place,
+    checkedOut: CheckedOutConnection,
     end: ExchangeEnd,
     deadline: number,
   ): Task<void> {
     const {connection, state} = this.context;
     const status = end.status!;
-    this.failed ||= end.error !== undefined;
+    this.hasFailed ||= end.error !== undefined;
     const isOpen = status !== 'idle';
-    this.open = isOpen ? place : undefined;
-    // The connection is free before replicas confirm: it is scarce.
-    if (!isOpen) yield* place.release(true);
-    if (end.complete) return;
+    this.pinned = isOpen ? checkedOut : undefined;
+    // Connections are scarce: it is released before replicas confirm.
+    if (!isOpen) yield* checkedOut.release(true);
+    if (end.isComplete) return;
     if (!end.position) {
       connection.send(Buffer.concat([end.held, encodeReadyForQuery(status)]));
       return;
     }
-    const {outcome, position} = yield* acknowledge(
+    const {outcome, position} = yield* waitForCommit(
       this.context,
       end.position,
       deadline,
     );
-    if (outcome === 'unknown') return this.refuse(unknownError());
-    if (outcome === 'not run') return this.refuse(lostError());
+    if (outcome === 'unknown') return this.sendError(unknownOutcomeError());
+    if (outcome === 'not run') return this.sendError(undoneWriteError());
     state.recordPosition(position);
-    const shown = encodeParameterStatus(
+    const positionStatus = encodeParameterStatus(
       POSITION_VARIABLE,
       formatPosition(position),
     );
     connection.send(
-      Buffer.concat([end.held, shown, encodeReadyForQuery(status)]),
+      Buffer.concat([end.held, positionStatus, encodeReadyForQuery(status)]),
     );
   }
 
-  private refuse(diagnostic: Diagnostic): void {
-    this.failed = true;
+  private sendError(diagnostic: Diagnostic): void {
+    this.hasFailed = true;
     const ready = encodeReadyForQuery('idle');
     const error = encodeError(diagnostic);
     this.context.connection.send(Buffer.concat([error, ready]));
@@ -297,4 +317,4 @@
   return statements.slice(1).every(({kind}) => kind === 'read');
 }
 
-function* none(): Task<void> {}
+function* doNothing(): Task<void> {}
--- a/src/proxy/node/caller_server.ts
+++ b/src/proxy/node/caller_server.ts
@@ -20,19 +20,19 @@
   type Diagnostic,
 } from '../../services/wire/common/backend';
 import {FrameConnection} from '../../services/wire/node/frame_connection';
-import {fatal, NOT_RUN_SHUTTING_DOWN} from '../common/diagnostics';
+import {fatalError, NOT_RUN_SHUTTING_DOWN} from '../common/diagnostics';
 import {CallerSession} from './caller_session';
 import type {ProxyServices} from './proxy_services';
 import {SessionMeter, type RequestMeter} from './request_meter';
 
-const REFUSED_ENCRYPTION = Buffer.from('N');
-const TOO_MANY_CALLERS = '53300';
-const INVALID_PARAMETER = '22023';
-const UNKNOWN_SERVICE = '3D000';
+const ENCRYPTION_REFUSED = Buffer.from('N');
+const TOO_MANY_CONNECTIONS = '53300';
+const INVALID_PARAMETER_VALUE = '22023';
+const INVALID_CATALOG_NAME = '3D000';
 const PROTOCOL_VIOLATION = '08P01';
-const DRAIN_CHECK_MS = 20;
+const DRAIN_CHECK_INTERVAL_MS = 20;
 
-const PARAMETERS: readonly [string, string][] = [
+const SERVER_PARAMETERS: readonly [string, string][] = [
   ['server_version', '16.0 (bulrushstage)'],
   ['client_encoding', 'UTF8'],
   ['DateStyle', 'ISO, MDY'],
@@ -40,8 +40,8 @@
   ['standard_conforming_strings', 'on'],
 ];
 
-/** What the server is built on. */
-export interface CallerSurroundings {
+/** Dependencies of the server; settings() gives the current ones. */
+export interface CallerServerDependencies {
   readonly services: ProxyServices;
   readonly grammar: SqlGrammar;
   readonly meter: RequestMeter;
@@ -55,22 +55,22 @@
   readonly secret: number;
 }
 
-/** Takes callers' connections; each becomes a session task. */
+/** Accepts callers' connections and runs a session task for each. */
 export class CallerServer {
   private readonly server: Server;
   private readonly classifier: Classifier;
   private readonly sessions = new Map<number, OpenSession>();
   private readonly controller: AbortController;
   private lastProcessId = 0;
-  private connections = 0;
-  private stopping = false;
+  private connectionCount = 0;
+  private isStopping = false;
 
   constructor(
-    private readonly around: CallerSurroundings,
+    private readonly dependencies: CallerServerDependencies,
     signal: AbortSignal,
   ) {
     this.controller = childController(signal);
-    this.classifier = new Classifier(around.grammar);
+    this.classifier = new Classifier(dependencies.grammar);
     this.server = createServer(socket => this.accept(socket));
   }
 
@@ -86,42 +86,42 @@
   }
 
   /**
-   * Graceful stop: no new sessions, idle ones end at once, transactions in
-   * progress run to their end for as long as the settings allow.
+   * Stops accepting sessions, ends idle ones at once and waits up to the drain
+   * time of the settings for open transactions. Closes what is left.
    */
   async drain(): Promise<void> {
-    this.stopping = true;
+    this.isStopping = true;
     this.server.close();
-    const {drainMs} = this.around.settings().proxy;
-    const {log} = this.around;
+    const {drainMs} = this.dependencies.settings().proxy;
+    const {log} = this.dependencies;
     const busy = [...this.sessions.values()].filter(({session}) => {
       return !session.isIdle;
     });
     log.info('Draining.', {sessions: this.sessions.size, busy: busy.length});
     for (const {session} of this.sessions.values()) session.stop();
-    await this.allEnded(drainMs);
+    await this.waitForSessions(drainMs);
     const left = this.sessions.size;
-    if (left > 0) log.warn('Cut sessions after the drain time.', {left});
+    if (left > 0) log.warn('Closed sessions after the drain time.', {left});
     else log.info('Drained.', {waitedFor: busy.length});
     this.controller.abort();
   }
 
-  private allEnded(mostMs: number): Promise<void> {
+  private waitForSessions(maxWaitMs: number): Promise<void> {
     return new Promise(resolve => {
       const checks = childController(this.controller.signal);
       const end = () => {
         checks.abort();
         resolve();
       };
-      after(checks.signal, mostMs, end);
-      every(checks.signal, DRAIN_CHECK_MS, () => {
+      after(checks.signal, maxWaitMs, end);
+      every(checks.signal, DRAIN_CHECK_INTERVAL_MS, () => {
         if (this.sessions.size === 0) end();
       });
     });
   }
 
   private accept(socket: Socket): void {
-    const {frameBytes} = this.around.settings().proxy;
+    const {frameBytes} = this.dependencies.settings().proxy;
     const {signal} = this.controller;
     const connection = new FrameConnection(socket, frameBytes, signal);
     void startTask('session', () => this.serve(connection));
@@ -131,7 +131,7 @@
     for (;;) {
       const incoming = yield* connection.receive();
       if (incoming?.kind === 'error') {
-        return this.refuse(connection, PROTOCOL_VIOLATION, incoming.reason);
+        return this.reject(connection, PROTOCOL_VIOLATION, incoming.reason);
       }
       if (incoming?.kind !== 'startup') return connection.destroy();
       const {packet} = incoming;
@@ -139,13 +139,13 @@
         case 'startup':
           return yield* this.serveSession(connection, packet.parameters);
         case 'encryption':
-          connection.send(REFUSED_ENCRYPTION);
+          connection.send(ENCRYPTION_REFUSED);
           break;
         case 'cancel':
           this.cancel(packet.processId, packet.key);
           return connection.end();
         case 'invalid':
-          return this.refuse(connection, PROTOCOL_VIOLATION, packet.reason);
+          return this.reject(connection, PROTOCOL_VIOLATION, packet.reason);
       }
     }
   }
@@ -154,18 +154,18 @@
     connection: FrameConnection,
     parameters: ReadonlyMap<string, string>,
   ): Task<void> {
-    const {callers} = this.around.settings().proxy;
-    if (this.stopping) {
+    const {callers} = this.dependencies.settings().proxy;
+    if (this.isStopping) {
       const message = 'not run: the proxy is shutting down';
-      return this.refuse(connection, NOT_RUN_SHUTTING_DOWN, message);
+      return this.reject(connection, NOT_RUN_SHUTTING_DOWN, message);
     }
-    if (this.connections >= callers) {
+    if (this.connectionCount >= callers) {
       const message = 'not run: too many callers';
-      return this.refuse(connection, TOO_MANY_CALLERS, message);
+      return this.reject(connection, TOO_MANY_CONNECTIONS, message);
     }
-    this.connections++;
+    this.connectionCount++;
     yield* this.runSession(connection, parameters);
-    this.connections--;
+    this.connectionCount--;
   }
 
   private *runSession(
@@ -174,57 +174,57 @@
   ): Task<void> {
     const caller = callerName(parameters.get('user') ?? '');
     const service = serviceName(parameters.get('database') ?? caller);
-    const router = this.around.services.router(service);
+    const router = this.dependencies.services.router(service);
     if (!router) {
       const message = `service "${service}" does not exist`;
-      return this.refuse(connection, UNKNOWN_SERVICE, message);
+      return this.reject(connection, INVALID_CATALOG_NAME, message);
     }
     const state = new SessionState();
-    const fault = this.takeParameters(state, parameters);
-    if (fault) return connection.end(encodeError(fault));
-    const {clock} = this.around.services;
+    const error = this.applyStartupParameters(state, parameters);
+    if (error) return connection.end(encodeError(error));
+    const {clock} = this.dependencies.services;
     const session = new CallerSession(
       {
         caller,
         service,
         connection,
         state,
-        named: new Map(),
+        preparedStatements: new Map(),
         router,
         classifier: this.classifier,
         clock,
-        meter: new SessionMeter(this.around.meter, service, caller),
-        arrivedAt: clock.now(),
-        classes: () => this.around.settings().classes,
+        meter: new SessionMeter(this.dependencies.meter, service, caller),
+        connectedAt: clock.now(),
+        classes: () => this.dependencies.settings().classes,
       },
       () => {
-        const {services} = this.around.settings();
+        const {services} = this.dependencies.settings();
         return services.get(service)?.idleTransactionMs ?? 0;
       },
     );
     const processId = ++this.lastProcessId;
     const secret = randomInt(2 ** 31);
     this.sessions.set(processId, {session, processId, secret});
-    this.greet(connection, processId, secret);
+    this.sendStartupReply(connection, processId, secret);
     yield* session.run();
     this.sessions.delete(processId);
   }
 
-  private takeParameters(
+  private applyStartupParameters(
     state: SessionState,
     parameters: ReadonlyMap<string, string>,
   ): Diagnostic | undefined {
-    const classes = new Set(this.around.settings().classes.keys());
+    const classes = new Set(this.dependencies.settings().classes.keys());
     const options = parseStartupOptions(parameters.get('options') ?? '');
     for (const [name, value] of [...parameters, ...options]) {
       if (!SessionState.isProxyVariable(name)) continue;
-      const fault = state.setProxyVariable(name, value, classes);
-      if (fault) return fatal(INVALID_PARAMETER, fault.message);
+      const invalid = state.setProxyVariable(name, value, classes);
+      if (invalid) return fatalError(INVALID_PARAMETER_VALUE, invalid.message);
     }
     return undefined;
   }
 
-  private greet(
+  private sendStartupReply(
     connection: FrameConnection,
     processId: number,
     secret: number,
@@ -232,7 +232,7 @@
     connection.send(
       Buffer.concat([
         AUTHENTICATION_OK,
-        ...PARAMETERS.map(([name, value]) =>
+        ...SERVER_PARAMETERS.map(([name, value]) =>
           encodeParameterStatus(name, value),
         ),
         encodeBackendKeyData(processId, secret),
@@ -242,15 +242,15 @@
   }
 
   private cancel(processId: number, key: number): void {
-    const open = this.sessions.get(processId);
-    if (open?.secret === key) open.session.cancel();
+    const openSession = this.sessions.get(processId);
+    if (openSession?.secret === key) openSession.session.cancel();
   }
 
-  private refuse(
+  private reject(
     connection: FrameConnection,
     code: string,
     message: string,
   ): void {
-    connection.end(encodeError(fatal(code, message)));
+    connection.end(encodeError(fatalError(code, message)));
   }
 }
--- a/src/proxy/node/caller_session.ts
+++ b/src/proxy/node/caller_session.ts
@@ -12,30 +12,30 @@
   ConnectionEvent,
   ConnectionInput,
 } from '../../services/wire/node/frame_connection';
-import {noteNames, planBatch, type BatchMessage} from '../common/batch';
+import {updateStatements, planBatch, type BatchMessage} from '../common/batch';
 import {
-  fatal,
+  fatalError,
   NOT_RUN_SHUTTING_DOWN,
   unsupportedError,
 } from '../common/diagnostics';
 import {BatchRunner} from './batch_runner';
 import {KeyedWrite} from './keyed_write';
-import {encodeLocalAnswer, runLocally} from './local_statement';
+import {encodeLocalResult, runLocally} from './local_statement';
 import type {SessionContext} from './session_context';
 
 const PROTOCOL_VIOLATION = '08P01';
-const IDLE_TRANSACTION = '25P03';
-/** The longest batch without a Sync. */
-const MOST_BATCH_BYTES = 64 * 1024 * 1024;
+const IDLE_IN_TRANSACTION_TIMEOUT = '25P03';
+/** Of the messages between two Syncs. */
+const MAX_BATCH_BYTES = 64 * 1024 * 1024;
 
-/** The task of one caller's session. */
+/** The task of one caller's session, which handles its messages in order. */
 export class CallerSession {
   private readonly runner: BatchRunner;
   private batch: BatchMessage[] = [];
   private batchBytes = 0;
-  private skipToSync = false;
-  private stopping = false;
-  private busy = false;
+  private isSkippingToSync = false;
+  private isStopping = false;
+  private isBusy = false;
   private stopIdleTimer = () => {};
 
   constructor(
@@ -45,16 +45,17 @@
     this.runner = new BatchRunner(context);
   }
 
-  /** Nothing of the caller's is in progress. */
+  /** Whether no batch is running and no transaction is open. */
   get isIdle(): boolean {
-    return !this.busy && !this.runner.inTransaction;
+    return !this.isBusy && !this.runner.inTransaction;
   }
 
-  /** Ends the session as soon as nothing is in progress. */
+  /** Ends the session once no transaction or batch is in progress. */
   stop(): void {
     this.context.connection.notify('stop');
   }
 
+  /** Cancels the running batch, as a CancelRequest asks for. */
   cancel(): void {
     this.runner.cancel();
   }
@@ -62,28 +63,28 @@
   *run(): Task<void> {
     const {connection} = this.context;
     for (;;) {
-      this.watchIdleTransaction();
+      this.startIdleTimer();
       const incoming = yield* connection.receive();
       this.stopIdleTimer();
       if (!incoming) break;
-      this.busy = true;
-      const goesOn = yield* this.handle(incoming);
-      this.busy = false;
-      if (!goesOn || this.shouldStop()) break;
+      this.isBusy = true;
+      const shouldContinue = yield* this.handle(incoming);
+      this.isBusy = false;
+      if (!shouldContinue || this.shouldStop()) break;
       yield* connection.waitForDrain();
     }
-    yield* this.runner.abandon();
-    if (this.stopping) {
+    yield* this.runner.abort();
+    if (this.isStopping) {
       const message = 'the proxy is shutting down; connect again';
-      connection.end(encodeError(fatal('57P01', message)));
+      connection.end(encodeError(fatalError('57P01', message)));
     } else {
       connection.end();
     }
   }
 
   private shouldStop(): boolean {
-    const idle = !this.runner.inTransaction && this.batch.length === 0;
-    return this.stopping && idle;
+    const isIdle = !this.runner.inTransaction && this.batch.length === 0;
+    return this.isStopping && isIdle;
   }
 
   private *handle(incoming: ConnectionInput): Task<boolean> {
@@ -93,20 +94,20 @@
       case 'event':
         return yield* this.onEvent(incoming.event);
       case 'error':
-        return this.endWith(fatal(PROTOCOL_VIOLATION, incoming.reason));
+        return this.endWith(fatalError(PROTOCOL_VIOLATION, incoming.reason));
       default:
-        return this.endWith(fatal(PROTOCOL_VIOLATION, 'second startup'));
+        return this.endWith(fatalError(PROTOCOL_VIOLATION, 'second startup'));
     }
   }
 
   private *onEvent(event: ConnectionEvent): Task<boolean> {
     if (event === 'stop') {
-      this.stopping = true;
+      this.isStopping = true;
       return true;
     }
     const message = 'the transaction was idle while others waited';
-    yield* this.runner.abandon();
-    return this.endWith(fatal(IDLE_TRANSACTION, message));
+    yield* this.runner.abort();
+    return this.endWith(fatalError(IDLE_IN_TRANSACTION_TIMEOUT, message));
   }
 
   private endWith(diagnostic: Diagnostic): boolean {
@@ -118,10 +119,10 @@
     const message = decodeFrontend(frame);
     if (!message || message.kind === 'other') {
       const reason = `message of type ${frame.type} is broken or unexpected`;
-      return this.endWith(fatal(PROTOCOL_VIOLATION, reason));
+      return this.endWith(fatalError(PROTOCOL_VIOLATION, reason));
     }
     if (message.kind === 'terminate') return false;
-    noteNames(message, this.context.named);
+    updateStatements(message, this.context.preparedStatements);
     if (message.kind === 'query') {
       yield* this.runBatch([{message, frame}]);
       return true;
@@ -130,26 +131,28 @@
       yield* this.onSync({message, frame});
       return true;
     }
-    if (this.skipToSync) return true;
+    if (this.isSkippingToSync) return true;
     this.batchBytes += frame.bytes.length;
-    if (this.batchBytes > MOST_BATCH_BYTES) {
-      return this.endWith(fatal(PROTOCOL_VIOLATION, 'batch without a Sync'));
+    if (this.batchBytes > MAX_BATCH_BYTES) {
+      return this.endWith(
+        fatalError(PROTOCOL_VIOLATION, 'batch without a Sync'),
+      );
     }
-    // The frame's bytes are the socket's; what is kept is copied.
-    const kept = {type: frame.type, bytes: Buffer.from(frame.bytes)};
-    this.batch.push({message: decodeFrontend(kept)!, frame: kept});
-    if (message.kind === 'flush') yield* this.runPart();
+    // The frame's bytes belong to the socket's buffer.
+    const copy = {type: frame.type, bytes: Buffer.from(frame.bytes)};
+    this.batch.push({message: decodeFrontend(copy)!, frame: copy});
+    if (message.kind === 'flush') yield* this.onFlush();
     return true;
   }
 
   private *onSync(sync: BatchMessage): Task<void> {
     const messages = [...this.batch, sync];
-    const skipped = this.skipToSync;
+    const wasSkipping = this.isSkippingToSync;
     this.batch = [];
     this.batchBytes = 0;
-    this.skipToSync = false;
-    if (skipped) {
-      // The error went out when it was found; the batch ends here.
+    this.isSkippingToSync = false;
+    if (wasSkipping) {
+      // The error was sent already; messages up to this Sync are skipped.
       const status = this.runner.inTransaction ? 'open' : 'idle';
       this.context.connection.send(encodeReadyForQuery(status));
       return;
@@ -162,69 +165,70 @@
     yield* this.runBatch(messages);
   }
 
-  /** A Flush: the caller wants answers before it sends its Sync. */
-  private *runPart(): Task<void> {
+  /** Sends the messages before a Flush, whose replies the caller awaits. */
+  private *onFlush(): Task<void> {
     const messages = this.batch;
     this.batch = [];
-    const {named, classifier} = this.context;
-    const plan = planBatch(messages, named, classifier);
-    const refusal = plan.unsupported
+    const {preparedStatements, classifier} = this.context;
+    const plan = planBatch(messages, preparedStatements, classifier);
+    const error = plan.unsupported
       ? unsupportedError(plan.unsupported)
-      : yield* this.runner.runPart(messages, plan);
-    if (!refusal) return;
-    this.context.connection.send(encodeError(refusal));
-    this.skipToSync = true;
+      : yield* this.runner.runPartial(messages, plan);
+    if (!error) return;
+    this.context.connection.send(encodeError(error));
+    this.isSkippingToSync = true;
   }
 
   private *runBatch(messages: readonly BatchMessage[]): Task<void> {
-    const {named, classifier, clock, meter} = this.context;
+    const {preparedStatements, classifier, clock, meter} = this.context;
     const startedAt = clock.now();
-    const plan = planBatch(messages, named, classifier);
+    const plan = planBatch(messages, preparedStatements, classifier);
     if (plan.unsupported) {
-      return this.refuse(unsupportedError(plan.unsupported));
+      return this.sendError(unsupportedError(plan.unsupported));
     }
-    if (this.stopping && this.isAtStart()) {
+    if (this.isStopping && this.isUnpinned()) {
       const message = 'not run: the proxy is shutting down';
       const code = NOT_RUN_SHUTTING_DOWN;
-      return this.refuse({severity: 'ERROR', code, message});
+      return this.sendError({severity: 'ERROR', code, message});
     }
-    if (this.isAtStart()) {
+    if (this.isUnpinned()) {
       const [statement] = plan.statements;
-      const single = plan.statements.every(({kind}) => {
+      const isUniform = plan.statements.every(({kind}) => {
         return kind === statement?.kind;
       });
-      if (statement && single && this.answerLocally(messages, statement)) {
+      if (statement && isUniform && this.replyLocally(messages, statement)) {
         return;
       }
-      if (this.takesKey(plan.isRead, plan.statements)) {
-        return yield* this.runKeyed(messages);
+      if (this.usesRequestKey(plan.isRead, plan.statements)) {
+        return yield* this.runKeyedWrite(messages);
       }
     }
-    const refused = this.refusedSetting(plan.statements);
-    if (refused) return this.refuse(unsupportedError(refused));
-    const succeeded = yield* this.runner.run(messages, plan);
-    if (succeeded) this.rememberSettings(messages, plan.statements);
+    const unsupported = this.findUnsupportedSetting(plan.statements);
+    if (unsupported) return this.sendError(unsupportedError(unsupported));
+    const hasSucceeded = yield* this.runner.run(messages, plan);
+    if (hasSucceeded) this.saveSettings(messages, plan.statements);
     const {requestClass} = this.context.state;
     meter.record(requestClass, 'whole', clock.now() - startedAt);
   }
 
-  private isAtStart(): boolean {
+  /** Whether no transaction or partial batch holds a connection. */
+  private isUnpinned(): boolean {
     return !this.runner.inTransaction && !this.runner.isPartial;
   }
 
-  private answerLocally(
+  private replyLocally(
     messages: readonly BatchMessage[],
     statement: StatementClass,
   ): boolean {
     const {state, connection} = this.context;
     const classes = new Set(this.context.classes().keys());
-    const answer = runLocally(statement, state, classes);
-    if (!answer) return false;
-    connection.send(encodeLocalAnswer(messages, answer));
+    const result = runLocally(statement, state, classes);
+    if (!result) return false;
+    connection.send(encodeLocalResult(messages, result));
     return true;
   }
 
-  private takesKey(
+  private usesRequestKey(
     isRead: boolean,
     statements: readonly StatementClass[],
   ): boolean {
@@ -232,29 +236,29 @@
     return statements.every(({kind}) => kind === 'write');
   }
 
-  private *runKeyed(messages: readonly BatchMessage[]): Task<void> {
+  private *runKeyedWrite(messages: readonly BatchMessage[]): Task<void> {
     const {state} = this.context;
     const key = state.writeKey!;
     state.writeKey = undefined;
     yield* new KeyedWrite(this.context, key, messages).run();
   }
 
-  /** A setting of the session that could not be kept for later places. */
-  private refusedSetting(
+  /** Describes a SET that cannot be replayed on later connections. */
+  private findUnsupportedSetting(
     statements: readonly StatementClass[],
   ): string | undefined {
     const setting = statements.find(statement => {
       return statement.kind === 'set' && !statement.local;
     });
     if (setting?.kind !== 'set') return undefined;
-    if (!this.isAtStart()) return 'SET inside a transaction (SET LOCAL is)';
+    if (!this.isUnpinned()) return 'SET inside a transaction (SET LOCAL is)';
     if (statements.length > 2) return 'SET beside other statements';
     const {state} = this.context;
     return state.canSaveSetting(setting.name) ? undefined : 'one more SET';
   }
 
-  /** Keeps a SET for the session's later places. */
-  private rememberSettings(
+  /** Saves a SET, to be replayed on the session's later connections. */
+  private saveSettings(
     messages: readonly BatchMessage[],
     statements: readonly StatementClass[],
   ): void {
@@ -263,25 +267,25 @@
     const text = messages
       .map(({message}) => ('text' in message ? message.text : ''))
       .join('');
-    const kept = statement.value === undefined ? undefined : text;
-    this.context.state.saveSetting(statement.name, kept);
+    const savedText = statement.value === undefined ? undefined : text;
+    this.context.state.saveSetting(statement.name, savedText);
   }
 
-  private refuse(diagnostic: Diagnostic): void {
+  private sendError(diagnostic: Diagnostic): void {
     const status = this.runner.inTransaction ? 'open' : 'idle';
     const parts = [encodeError(diagnostic), encodeReadyForQuery(status)];
     this.context.connection.send(Buffer.concat(parts));
   }
 
-  private watchIdleTransaction(): void {
+  private startIdleTimer(): void {
     if (!this.runner.inTransaction) return;
     const {connection, router} = this.context;
     this.stopIdleTimer = after(
       connection.closedSignal,
       this.idleTransactionMs(),
       () => {
-        if (router.queued > 0) connection.notify('idle too long');
-        else this.watchIdleTransaction();
+        if (router.queuedCount > 0) connection.notify('idle too long');
+        else this.startIdleTimer();
       },
     );
   }
--- a/src/proxy/node/candidate_cache.ts
+++ b/src/proxy/node/candidate_cache.ts
@@ -3,33 +3,33 @@
 import type {ServiceRecord} from '../../schema/generated/control';
 import type {ServiceTargets} from './service_targets';
 
-/** The candidates of one dispatch, made once for all requests that wait. */
-export class DispatchView {
-  private allKnown: ReadCandidate[] | undefined;
-  private primaryKnown: ReadCandidate[] | undefined;
+/** Candidates that the queued requests of one dispatch share. */
+export class CandidateCache {
+  private cachedAll: ReadCandidate[] | undefined;
+  private cachedPrimary: ReadCandidate[] | undefined;
 
   constructor(
     private readonly targets: ServiceTargets,
     private readonly record: ServiceRecord,
-    private readonly lineage: TermHistory,
-    private readonly primaryUsable: boolean,
+    private readonly termHistory: TermHistory,
+    private readonly isPrimaryUsable: boolean,
   ) {}
 
   get all(): readonly ReadCandidate[] {
-    const {targets, record, lineage, primaryUsable} = this;
-    this.allKnown ??= targets.candidates(record, lineage, primaryUsable);
-    return this.allKnown;
+    const {targets, record, termHistory, isPrimaryUsable} = this;
+    this.cachedAll ??= targets.candidates(record, termHistory, isPrimaryUsable);
+    return this.cachedAll;
   }
 
   get primary(): readonly ReadCandidate[] {
-    const {targets, record, primaryUsable} = this;
-    this.primaryKnown ??= targets.primaryCandidate(record, primaryUsable);
-    return this.primaryKnown;
+    const {targets, record, isPrimaryUsable} = this;
+    this.cachedPrimary ??= targets.primaryCandidate(record, isPrimaryUsable);
+    return this.cachedPrimary;
   }
 
-  /** A place was taken: what is free has changed. */
-  forget(): void {
-    this.allKnown = undefined;
-    this.primaryKnown = undefined;
+  /** Call after a checkout: it changes the free connections. */
+  invalidate(): void {
+    this.cachedAll = undefined;
+    this.cachedPrimary = undefined;
   }
 }
--- a/src/proxy/node/checked_out_connection.ts
+++ b/src/proxy/node/checked_out_connection.ts
@@ -2,103 +2,114 @@
 import {Reply, type Task} from '../../base/node/task';
 import type {CommitOutcome} from '../../services/confirmation/common/pending_commits';
 import type {Position} from '../../services/position/common/position';
-import type {NotRun} from '../common/checkout_refusal';
-import type {Grant} from './checkout_request';
-import {runOwnQuery, succeeded} from './internal_query';
+import type {CheckoutRefusal} from '../common/checkout_refusal';
+import type {Checkout} from './checkout_request';
+import {runInternalQuery, succeeded} from './internal_query';
 import {describeRequest, type SessionContext} from './session_context';
 
-/** A transaction's hold on a connection of a target. */
-export class Place {
-  private released = false;
+/** A connection to a target that one transaction uses until its release. */
+export class CheckedOutConnection {
+  private isReleased = false;
 
   private constructor(
     private readonly context: SessionContext,
-    readonly grant: Grant,
+    readonly checkout: Checkout,
     private readonly startedAt: number,
   ) {}
 
-  /** Waits for a place; the session's settings are made there. */
-  static *take(
+  /** Waits for a connection, until the deadline on the monotonic clock. */
+  static *checkOut(
     context: SessionContext,
-    needs: 'read' | 'write',
+    access: 'read' | 'write',
     deadline: number,
-  ): Task<Result<Place, NotRun>> {
-    const request = {...describeRequest(context, needs), deadline};
-    const reply = new Reply<Result<Grant, NotRun>>();
-    const posted = context.router.post({
+  ): Task<Result<CheckedOutConnection, CheckoutRefusal>> {
+    const request = {...describeRequest(context, access), deadline};
+    const reply = new Reply<Result<Checkout, CheckoutRefusal>>();
+    const isPosted = context.router.post({
       kind: 'request',
-      request: {...request, settle: reply.give},
+      request: {...request, resolve: reply.give},
     });
-    if (!posted) context.connection.destroy();
-    const answer = yield* reply.wait();
+    if (!isPosted) context.connection.destroy();
+    const result = yield* reply.wait();
     const now = context.clock.now();
     const {meter, state} = context;
-    meter.record(state.requestClass, 'queue', now - request.since);
-    if (answer.isErr) meter.count('not run');
-    return answer.map(grant => {
-      meter.count(grant.reason);
-      return new Place(context, grant, now);
+    meter.record(state.requestClass, 'queue', now - request.requestedAt);
+    if (result.isErr) meter.count('not run');
+    return result.map(checkout => {
+      meter.count(checkout.reason);
+      return new CheckedOutConnection(context, checkout, now);
     });
   }
 
   get connection() {
-    return this.grant.connection;
+    return this.checkout.connection;
   }
 
-  /** Makes the session's settings on the connection; false where it fails. */
-  *prepare(): Task<boolean> {
-    const {settingStatements: replay} = this.context.state;
-    if (replay.length === 0) return true;
+  /** Replays the session's SET statements; false if that failed. */
+  *applySettings(): Task<boolean> {
+    const {settingStatements: statements} = this.context.state;
+    if (statements.length === 0) return true;
     this.connection.isDirty = true;
-    const answer = yield* runOwnQuery(this.connection, replay.join(';'));
-    return succeeded(answer);
+    const result = yield* runInternalQuery(
+      this.connection,
+      statements.join(';'),
+    );
+    return succeeded(result);
   }
 
-  /** Gives the connection back, without anything of this session on it. */
-  *release(answered: boolean): Task<void> {
-    if (this.released) return;
-    this.released = true;
-    const {connection, instance, onPrimary} = this.grant;
+  /** Returns the connection to its pool, after a reset of session state. */
+  *release(hasReplied: boolean): Task<void> {
+    if (this.isReleased) return;
+    this.isReleased = true;
+    const {connection, instance, isOnPrimary} = this.checkout;
     const {context, startedAt} = this;
     const {meter, state, clock} = context;
     meter.record(state.requestClass, 'target', clock.now() - startedAt);
-    const clean = answered && (yield* this.clean());
+    const isClean = hasReplied && (yield* this.reset());
     context.router.post({
       kind: 'release',
-      release: {connection, instance, onPrimary, clean, answered, startedAt},
+      release: {
+        connection,
+        instance,
+        isOnPrimary,
+        isClean,
+        hasReplied,
+        startedAt,
+      },
     });
   }
 
-  private *clean(): Task<boolean> {
+  private *reset(): Task<boolean> {
     const {connection} = this;
     if (connection.isClosed) return false;
     if (!connection.isDirty) return true;
-    const answer = yield* runOwnQuery(connection, 'DISCARD ALL');
+    const result = yield* runInternalQuery(connection, 'DISCARD ALL');
     connection.preparedStatements.clear();
     connection.isDirty = false;
-    return succeeded(answer);
+    return succeeded(result);
   }
 }
 
-/** What a commit came to, and the position to show for it. */
-export interface Acknowledged {
+/** The outcome of a commit and its position in the log that kept it. */
+export interface CommitResult {
   readonly outcome: CommitOutcome;
   readonly position: Position;
 }
 
-/** Waits until a commit may be acknowledged, or cannot be. */
-export function* acknowledge(
+/** Waits until the outcome of a commit is known, or for its deadline. */
+export function* waitForCommit(
   context: SessionContext,
   position: Position,
   deadline: number,
-): Task<Acknowledged> {
-  const reply = new Reply<Acknowledged>();
+): Task<CommitResult> {
+  const reply = new Reply<CommitResult>();
   context.router.post({
     kind: 'acknowledge',
     commit: {
       position,
       deadline,
-      settle: (outcome, at) => reply.give({outcome, position: at}),
+      resolve: (outcome, acknowledged) =>
+        reply.give({outcome, position: acknowledged}),
     },
   });
   return yield* reply.wait();
--- a/src/proxy/node/checkout_request.ts
+++ b/src/proxy/node/checkout_request.ts
@@ -1,35 +1,35 @@
 import type {ClassName, InstanceId, ServiceName} from '../../base/common/ids';
 import type {Result} from '../../base/common/outcome';
 import type {QueuedRequest} from '../../services/admission/common/fair_queue';
-import type {NotRun} from '../common/checkout_refusal';
+import type {CheckoutRefusal} from '../common/checkout_refusal';
 import type {TargetConnection} from '../../services/pool/node/target_connection';
 import type {Position} from '../../services/position/common/position';
 import type {RouteReason} from '../../services/routing/common/route_read';
 
-/** A place on a target for one transaction. */
-export interface Grant {
+/** A connection that is checked out for one transaction, and how it fits. */
+export interface Checkout {
   readonly connection: TargetConnection;
   readonly instance: InstanceId;
-  readonly onPrimary: boolean;
+  readonly isOnPrimary: boolean;
   readonly reason: RouteReason | 'primary for a write';
-  /** What the session must see, now that it is known. */
-  readonly required: Position;
+  /** The minimum position of the session, also if it passed none. */
+  readonly minPosition: Position;
   readonly term: number;
-  /** The most that the answer can be behind, in milliseconds. */
+  /** Upper bound of the data's staleness; Infinity if unknown. */
   readonly ageMs: number;
 }
 
-/** A transaction that waits for a place on a target. */
-export interface PlaceRequest extends QueuedRequest {
+/** A queued request of a transaction for a connection to a target. */
+export interface CheckoutRequest extends QueuedRequest {
   readonly service: ServiceName;
   readonly requestClass: ClassName;
-  readonly needs: 'read' | 'write';
-  readonly ageMs: number;
+  readonly access: 'read' | 'write';
+  readonly maxAgeMs: number;
   readonly olderWithNotice: boolean;
-  /** What the session must see; undefined when it brought nothing along. */
-  readonly required: Position | undefined;
-  /** When the session arrived, on the monotonic clock. */
-  readonly arrivedAt: number;
-  readonly since: number;
-  readonly settle: (outcome: Result<Grant, NotRun>) => void;
+  /** What the session must see; undefined if it passed no position. */
+  readonly minPosition: Position | undefined;
+  /** When the session connected, on the monotonic clock. */
+  readonly connectedAt: number;
+  readonly requestedAt: number;
+  readonly resolve: (outcome: Result<Checkout, CheckoutRefusal>) => void;
 }
--- a/src/proxy/node/control_link.ts
+++ b/src/proxy/node/control_link.ts
@@ -14,17 +14,17 @@
 } from '../../schema/generated/control';
 import type {ProxyServices} from './proxy_services';
 
-const RECONNECT_MS = 50;
-/** A leader that answers nothing for this many renewals is left. */
-const DEAF_RENEWALS = 6;
-const MOST_OPEN_ASKS = 64;
-/** News within this time make one message, in milliseconds. */
-const NEWS_MS = 2;
+const RECONNECT_DELAY_MS = 50;
+/** A leader without a reply for this many renewals is disconnected. */
+const MAX_UNANSWERED_RENEWALS = 6;
+const MAX_PENDING_REQUESTS = 64;
+/** Reports within this time share one request. */
+const REPORT_DELAY_MS = 2;
 
 type Stream = ClientDuplexStream<ProxyMessage, ControlMessage>;
 
-/** What the link is built on. */
-export interface ControlLinkSurroundings {
+/** Dependencies of the link; leaseMs is an upper bound for leases. */
+export interface ControlLinkDependencies {
   readonly proxy: ProxyRecord;
   readonly site: string;
   readonly addresses: readonly string[];
@@ -34,24 +34,25 @@
   readonly renewalMs: number;
   readonly leaseMs: number;
   settingsVersion(): number;
-  /** Settings of a newer version were accepted. */
+  /** Applies the text of a newer version of the settings. */
   onSettings(version: number, text: string): void;
 }
 
-/** This proxy's link to the control leader: leases, reports, changes. */
+/** The stream to the control leader: renews leases, reports failures. */
 export class ControlLink {
   private readonly clients = new Map<string, ControlClient>();
   private stream: Stream | undefined;
   private sequence = 0;
   private knownRevision = 0;
-  private heardAt = 0;
-  private nextAddress = 0;
-  private newsPending = false;
-  private readonly asks = new Map<number, number>();
+  private lastReplyAt = 0;
+  private addressIndex = 0;
+  private isReportPending = false;
+  /** When requests were sent, by sequence number. */
+  private readonly pendingRequests = new Map<number, number>();
   private readonly records = new Map<string, ServiceRecord>();
 
   constructor(
-    private readonly around: ControlLinkSurroundings,
+    private readonly dependencies: ControlLinkDependencies,
     private readonly signal: AbortSignal,
   ) {}
 
@@ -60,32 +61,32 @@
   }
 
   start(): void {
-    const {renewalMs, services} = this.around;
+    const {renewalMs, services} = this.dependencies;
     this.signal.addEventListener('abort', () => {
       for (const client of this.clients.values()) client.close();
     });
-    services.onDidHaveNews(() => this.onNews());
+    services.onDidHaveReport(() => this.scheduleReport());
     every(this.signal, renewalMs, () => this.renew());
-    this.connect(this.around.addresses[0]!);
+    this.connect(this.dependencies.addresses[0]!);
   }
 
   private connect(address: string): void {
     if (this.signal.aborted) return;
     const stream = this.clientOf(address).attach();
     this.stream = stream;
-    this.asks.clear();
-    this.heardAt = this.around.clock.now();
-    let ended = false;
-    const onEnd = (next?: string) => {
-      if (ended) return;
-      ended = true;
+    this.pendingRequests.clear();
+    this.lastReplyAt = this.dependencies.clock.now();
+    let hasEnded = false;
+    const onEnd = (leaderAddress?: string) => {
+      if (hasEnded) return;
+      hasEnded = true;
       stream.cancel();
       if (this.stream === stream) this.stream = undefined;
-      const target = next ?? this.rotate();
-      after(this.signal, RECONNECT_MS, () => this.connect(target));
+      const nextAddress = leaderAddress ?? this.nextAddress();
+      after(this.signal, RECONNECT_DELAY_MS, () => this.connect(nextAddress));
     };
     stream.on('data', (message: ControlMessage) => {
-      if (this.stream !== stream || ended) return;
+      if (this.stream !== stream || hasEnded) return;
       const {body} = message;
       if (body?.$case === 'notLeader') {
         onEnd(body.value.leaderAddress || undefined);
@@ -94,96 +95,96 @@
     });
     stream.on('error', () => onEnd());
     stream.on('end', () => onEnd());
-    const {proxy, site} = this.around;
+    const {proxy, site} = this.dependencies;
     stream.write({body: {$case: 'hello', value: {proxy, site}}});
-    this.ask();
+    this.sendRequest();
   }
 
-  private rotate(): string {
-    const {addresses} = this.around;
-    this.nextAddress = (this.nextAddress + 1) % addresses.length;
-    return addresses[this.nextAddress]!;
+  private nextAddress(): string {
+    const {addresses} = this.dependencies;
+    this.addressIndex = (this.addressIndex + 1) % addresses.length;
+    return addresses[this.addressIndex]!;
   }
 
   private clientOf(address: string): ControlClient {
-    const known = this.clients.get(address);
-    if (known) return known;
+    const existing = this.clients.get(address);
+    if (existing) return existing;
     const client = new ControlClient(address, LINK_CREDENTIALS, LINK_OPTIONS);
     this.clients.set(address, client);
     return client;
   }
 
   private renew(): void {
-    const {clock, renewalMs} = this.around;
-    const isDeaf = clock.now() - this.heardAt > renewalMs * DEAF_RENEWALS;
-    if (this.stream && isDeaf) {
-      // A leader that was cut off in silence would be waited for in vain.
+    const {clock, renewalMs} = this.dependencies;
+    const isSilent =
+      clock.now() - this.lastReplyAt > renewalMs * MAX_UNANSWERED_RENEWALS;
+    if (this.stream && isSilent) {
+      // A partitioned leader may never close the stream.
       this.stream.cancel();
       return;
     }
-    this.ask();
+    this.sendRequest();
   }
 
-  private onNews(): void {
-    if (this.newsPending) return;
-    this.newsPending = true;
-    after(this.signal, NEWS_MS, () => {
-      this.newsPending = false;
-      this.ask();
+  private scheduleReport(): void {
+    if (this.isReportPending) return;
+    this.isReportPending = true;
+    after(this.signal, REPORT_DELAY_MS, () => {
+      this.isReportPending = false;
+      this.sendRequest();
     });
   }
 
-  private ask(): void {
+  private sendRequest(): void {
     const {stream} = this;
     if (!stream) return;
-    const {services, clock} = this.around;
+    const {services, clock} = this.dependencies;
     const sequence = ++this.sequence;
-    this.asks.set(sequence, clock.now());
-    if (this.asks.size > MOST_OPEN_ASKS) {
-      this.asks.delete(this.asks.keys().next().value!);
+    this.pendingRequests.set(sequence, clock.now());
+    if (this.pendingRequests.size > MAX_PENDING_REQUESTS) {
+      this.pendingRequests.delete(this.pendingRequests.keys().next().value!);
     }
     const value = {
       sequence,
       knownRevision: this.knownRevision,
-      suspicions: services.suspicions(),
-      handBacks: services.handBacks(),
-      settingsVersion: this.around.settingsVersion(),
+      suspicions: services.failureReports(),
+      handBacks: services.leaseReturns(),
+      settingsVersion: this.dependencies.settingsVersion(),
     };
     stream.write({body: {$case: 'ask', value}});
   }
 
   private onGrant(grant: LeaseGrant): void {
-    const {services, clock} = this.around;
+    const {services, clock} = this.dependencies;
     const now = clock.now();
-    this.heardAt = now;
-    const askedAt = this.asks.get(grant.sequence);
-    this.asks.delete(grant.sequence);
+    this.lastReplyAt = now;
+    const requestedAt = this.pendingRequests.get(grant.sequence);
+    this.pendingRequests.delete(grant.sequence);
     for (const {record} of grant.services) {
-      if (record) this.takeRecord(record);
+      if (record) this.updateRecord(record);
     }
     this.knownRevision = Math.max(this.knownRevision, grant.revision);
-    this.takeSettings(grant);
-    services.onGrant(grant, askedAt, now);
-    if (askedAt === undefined) return;
-    const leaseMs = Math.min(grant.leaseMs, this.around.leaseMs);
-    services.extendLeases(this.coveredTerms(grant), askedAt, leaseMs);
+    this.applySettings(grant);
+    services.onGrant(grant, requestedAt, now);
+    if (requestedAt === undefined) return;
+    const leaseMs = Math.min(grant.leaseMs, this.dependencies.leaseMs);
+    services.extendLeases(this.coveredTerms(grant), requestedAt, leaseMs);
   }
 
-  private takeRecord(record: ServiceRecord): void {
-    const known = this.records.get(record.name);
-    if (known && known.revision > record.revision) return;
+  private updateRecord(record: ServiceRecord): void {
+    const current = this.records.get(record.name);
+    if (current && current.revision > record.revision) return;
     this.records.set(record.name, record);
   }
 
   /**
-   * Guard against going back to older settings: a lower version is never
-   * taken, whoever sends it. What is not answered to an ask is not confirmed
-   * by a majority, but a change that was pushed was committed by one.
+   * Guard: settings never go back to an older version. A lower version is
+   * ignored, whoever sends it; a pushed change was committed by a majority.
    */
-  private takeSettings({settingsVersion, settingsText}: LeaseGrant): void {
-    if (settingsVersion <= this.around.settingsVersion()) return;
+  private applySettings({settingsVersion, settingsText}: LeaseGrant): void {
+    if (settingsVersion <= this.dependencies.settingsVersion()) return;
     if (settingsText === '') return;
-    this.around.onSettings(settingsVersion, settingsText);
+    this.dependencies.onSettings(settingsVersion, settingsText);
   }
 
   private coveredTerms(grant: LeaseGrant): Map<string, number> {
--- a/src/proxy/node/exchange.ts
+++ b/src/proxy/node/exchange.ts
@@ -22,119 +22,119 @@
 } from '../../services/wire/common/frames';
 import type {OutgoingBatch} from '../common/batch';
 
-const COMPLETE = typeByteOf('C');
+const COMMAND_COMPLETE = typeByteOf('C');
 const CLOSE_COMPLETE = typeByteOf('3');
-const ERROR = typeByteOf('E');
-const PARAMETER = typeByteOf('S');
+const ERROR_RESPONSE = typeByteOf('E');
+const PARAMETER_STATUS = typeByteOf('S');
 const PARSE_COMPLETE = typeByteOf('1');
-const READY = typeByteOf('Z');
+const READY_FOR_QUERY = typeByteOf('Z');
 const DATA_ROW = typeByteOf('D');
 
-/** Where the answer of a target goes. */
-export interface AnswerSink {
-  /** False once the receiver is behind. */
+/** Receives the reply of a target. */
+export interface ReplySink {
+  /** False if the sender should wait for caughtUp(). */
   send(bytes: Buffer): boolean;
   caughtUp(): Promise<void>;
 }
 
-/** How answers are passed on. */
+/** Which messages of a reply are relayed at once. */
 export type RelayMode =
-  /** As they come, with the ReadyForQuery. */
-  | 'through'
-  /** As they come, without it: the transaction goes on for the proxy. */
-  | 'without ready'
-  /** The last completion and errors wait for what the commit comes to. */
-  | 'hold the end';
-
-/** How an exchange ended. */
+  /** All of them, ReadyForQuery included if nothing was committed. */
+  | 'with ReadyForQuery'
+  /** All but ReadyForQuery, since the proxy continues the transaction. */
+  | 'without ReadyForQuery'
+  /** The last completion or error is held until the commit's outcome. */
+  | 'hold completion';
+
+/** How an exchange ended, and what is left to send to the caller. */
 export interface ExchangeEnd {
-  /** Undefined where the connection was lost first. */
+  /** Undefined if the connection was lost before ReadyForQuery. */
   readonly status: TransactionStatus | undefined;
-  /** Where the group's log stood after a commit in it. */
+  /** Position of a commit in the group's log. */
   readonly position: Position | undefined;
-  /** Completion or error that the caller has not seen yet. */
+  /** Completion or error that was not relayed yet. */
   readonly held: Buffer;
   readonly error: Diagnostic | undefined;
-  /** The caller has seen a part of the answer. */
-  readonly relayed: boolean;
-  /** The caller has seen all of it, ReadyForQuery included. */
-  readonly complete: boolean;
+  /** A part of the reply was relayed. */
+  readonly isRelayed: boolean;
+  /** All of the reply was relayed, ReadyForQuery included. */
+  readonly isComplete: boolean;
 }
 
 const EMPTY = Buffer.alloc(0);
 
-/** One batch sent to a target and its answer passed on to a sink. */
+/** Sends one batch to a target and relays the reply to a sink. */
 export class Exchange implements AnswerListener {
   private readonly ended = new Reply<ExchangeEnd>();
-  private shownParses: boolean[] = [];
-  private hiddenCloses = 0;
-  private held: Buffer[] = [];
+  private relayedParses: boolean[] = [];
+  private hiddenCloseCount = 0;
+  private heldFrames: Buffer[] = [];
   private position: Position | undefined;
   private error: Diagnostic | undefined;
-  private relayed = false;
-  private answered = false;
-  private synced = false;
+  private isRelayed = false;
+  private hasReceived = false;
+  private isLastSent = false;
 
   constructor(
     private readonly connection: TargetConnection,
-    private readonly sink: AnswerSink,
+    private readonly sink: ReplySink,
     private readonly mode: RelayMode,
   ) {
     connection.setListener(this);
     if (connection.isClosed) this.onDidClose();
   }
 
-  /** Waits for the end. */
+  /** Waits for ReadyForQuery or the loss of the connection. */
   *wait(): Task<ExchangeEnd> {
     return yield* this.ended.wait();
   }
 
-  /** The target has answered with something. */
-  get hasAnswer(): boolean {
-    return this.answered;
+  /** Whether any message of the target was received. */
+  get hasReply(): boolean {
+    return this.hasReceived;
   }
 
-  /** Sends a part of the batch; the last part makes the target end it. */
+  /** Sends a part of the batch; the last one ends with Query or Sync. */
   send(outgoing: OutgoingBatch, isLast: boolean): void {
-    this.shownParses.push(...outgoing.shownParses);
-    this.hiddenCloses += outgoing.hiddenCloses;
-    this.synced ||= isLast;
+    this.relayedParses.push(...outgoing.relayedParses);
+    this.hiddenCloseCount += outgoing.hiddenCloseCount;
+    this.isLastSent ||= isLast;
     this.connection.send(outgoing.bytes);
   }
 
   onDidReceive(frames: readonly Frame[]): void {
-    this.answered = true;
-    const out = new FrameRun();
+    this.hasReceived = true;
+    const out = new FrameBuffers();
     for (const frame of frames) {
       if (frame.type === DATA_ROW) {
         this.flushHeld(out);
         out.add(frame.bytes);
         continue;
       }
-      if (frame.type === READY) return this.onReady(frame, out);
+      if (frame.type === READY_FOR_QUERY) return this.onReady(frame, out);
       this.onFrame(frame, out);
     }
-    this.pass(out);
+    this.relay(out);
   }
 
   onDidClose(): void {
     this.finish(undefined);
   }
 
-  private onFrame(frame: Frame, out: FrameRun): void {
+  private onFrame(frame: Frame, out: FrameBuffers): void {
     switch (frame.type) {
-      case COMPLETE:
-        return this.onComplete(frame, out);
-      case ERROR:
-        return this.onError(frame, out);
-      case PARAMETER:
-        return this.onParameter(frame, out);
+      case COMMAND_COMPLETE:
+        return this.onCommandComplete(frame, out);
+      case ERROR_RESPONSE:
+        return this.onErrorResponse(frame, out);
+      case PARAMETER_STATUS:
+        return this.onParameterStatus(frame, out);
       case PARSE_COMPLETE:
-        if (this.shownParses.shift() === false) return;
+        if (this.relayedParses.shift() === false) return;
         break;
       case CLOSE_COMPLETE:
-        if (this.hiddenCloses > 0) {
-          this.hiddenCloses--;
+        if (this.hiddenCloseCount > 0) {
+          this.hiddenCloseCount--;
           return;
         }
     }
@@ -142,98 +142,99 @@
     out.add(frame.bytes);
   }
 
-  private onComplete(frame: Frame, out: FrameRun): void {
+  private onCommandComplete(frame: Frame, out: FrameBuffers): void {
     this.flushHeld(out);
-    const ends =
-      this.synced || decodeCommandComplete(bodyOf(frame)) === 'COMMIT';
-    if (this.mode === 'hold the end' && ends) {
-      this.held.push(Buffer.from(frame.bytes));
+    const isFinal =
+      this.isLastSent || decodeCommandComplete(bodyOf(frame)) === 'COMMIT';
+    if (this.mode === 'hold completion' && isFinal) {
+      this.heldFrames.push(Buffer.from(frame.bytes));
     } else {
       out.add(frame.bytes);
     }
   }
 
-  private onError(frame: Frame, out: FrameRun): void {
+  private onErrorResponse(frame: Frame, out: FrameBuffers): void {
     this.flushHeld(out);
     this.error ??= decodeDiagnostic(bodyOf(frame));
-    if (this.mode === 'hold the end' && this.synced) {
-      this.held.push(Buffer.from(frame.bytes));
+    if (this.mode === 'hold completion' && this.isLastSent) {
+      this.heldFrames.push(Buffer.from(frame.bytes));
     } else {
       out.add(frame.bytes);
     }
   }
 
-  private onParameter(frame: Frame, out: FrameRun): void {
+  private onParameterStatus(frame: Frame, out: FrameBuffers): void {
     const [name, value] = decodeParameterStatus(bodyOf(frame));
     if (name === 'group_position') this.position = parsePosition(value);
     else if (!name.startsWith('group_')) out.add(frame.bytes);
   }
 
-  private onReady(frame: Frame, out: FrameRun): void {
-    // An answer that waits for nothing goes out in one piece: each write to a
-    // socket costs as much as all of the routing.
-    const complete = this.mode === 'through' && this.position === undefined;
-    if (complete) out.add(frame.bytes);
-    this.pass(out);
-    this.finish(decodeReadyForQuery(bodyOf(frame)), complete);
+  private onReady(frame: Frame, out: FrameBuffers): void {
+    // ReadyForQuery goes out in the same write as the rest where possible:
+    // socket writes dominate the cost of a request.
+    const isComplete =
+      this.mode === 'with ReadyForQuery' && this.position === undefined;
+    if (isComplete) out.add(frame.bytes);
+    this.relay(out);
+    this.finish(decodeReadyForQuery(bodyOf(frame)), isComplete);
   }
 
   private finish(
     status: TransactionStatus | undefined,
-    complete = false,
+    isComplete = false,
   ): void {
     this.connection.setListener(undefined);
-    const {position, error, relayed, held} = this;
+    const {position, error, isRelayed, heldFrames} = this;
     this.ended.give({
       status,
       position,
-      held: held.length === 0 ? EMPTY : Buffer.concat(held),
+      held: heldFrames.length === 0 ? EMPTY : Buffer.concat(heldFrames),
       error,
-      relayed,
-      complete,
+      isRelayed,
+      isComplete,
     });
   }
 
-  /** What was held was not the end after all. */
-  private flushHeld(out: FrameRun): void {
-    if (this.held.length === 0) return;
-    for (const bytes of this.held) out.add(bytes);
-    this.held = [];
+  /** Relays held frames, since more of the reply follows them. */
+  private flushHeld(out: FrameBuffers): void {
+    if (this.heldFrames.length === 0) return;
+    for (const bytes of this.heldFrames) out.add(bytes);
+    this.heldFrames = [];
   }
 
-  private pass(out: FrameRun): void {
-    const bytes = out.take();
-    if (bytes.length === 0) return;
-    this.relayed = true;
-    let keepsUp = true;
-    for (const part of bytes) keepsUp = this.sink.send(part);
-    if (keepsUp) return;
-    // A slow caller must not make the proxy hold its answer in memory.
+  private relay(out: FrameBuffers): void {
+    const buffers = out.toArray();
+    if (buffers.length === 0) return;
+    this.isRelayed = true;
+    let hasCapacity = true;
+    for (const buffer of buffers) hasCapacity = this.sink.send(buffer);
+    if (hasCapacity) return;
+    // Backpressure: the reply to a slow caller must not fill the memory.
     this.connection.pause();
     void this.sink.caughtUp().then(() => this.connection.resume());
   }
 }
 
-/** Frames to pass on; neighbours in one buffer go out as one piece. */
-class FrameRun {
-  private readonly parts: Buffer[] = [];
+/** Frames to relay; adjacent slices of one buffer are merged. */
+class FrameBuffers {
+  private readonly buffers: Buffer[] = [];
 
   add(bytes: Buffer): void {
-    const last = this.parts.at(-1);
-    const isNext =
+    const last = this.buffers.at(-1);
+    const isAdjacent =
       last !== undefined &&
       last.buffer === bytes.buffer &&
       last.byteOffset + last.length === bytes.byteOffset;
-    if (!isNext) {
-      this.parts.push(bytes);
+    if (!isAdjacent) {
+      this.buffers.push(bytes);
       return;
     }
     const length = last.length + bytes.length;
-    const joined = Buffer.from(last.buffer, last.byteOffset, length);
-    this.parts[this.parts.length - 1] = joined;
+    const merged = Buffer.from(last.buffer, last.byteOffset, length);
+    this.buffers[this.buffers.length - 1] = merged;
   }
 
-  take(): readonly Buffer[] {
-    return this.parts;
+  toArray(): readonly Buffer[] {
+    return this.buffers;
   }
 }
--- a/src/proxy/node/internal_query.ts
+++ b/src/proxy/node/internal_query.ts
@@ -7,46 +7,46 @@
   typeByteOf,
 } from '../../services/wire/common/frames';
 import {BodyReader} from '../../services/wire/common/body_reader';
-import {Exchange, type AnswerSink, type ExchangeEnd} from './exchange';
+import {Exchange, type ReplySink, type ExchangeEnd} from './exchange';
 
 const DATA_ROW = typeByteOf('D');
-const MOST_BYTES = 64 * 1024 * 1024;
+const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
-/** The proxy's own query on a connection: its end and its rows' first values. */
-export interface OwnAnswer {
+/** How an internal query ended, and the first column of its rows. */
+export interface InternalQueryResult {
   readonly end: ExchangeEnd;
   readonly firstValues: readonly string[];
 }
 
-/** Runs a query of the proxy's own; no caller sees its answer. */
-export function* runOwnQuery(
+/** Runs a query of the proxy itself; nothing of it goes to the caller. */
+export function* runInternalQuery(
   connection: TargetConnection,
   text: string,
-): Task<OwnAnswer> {
-  const sink = new FirstValues();
-  const exchange = new Exchange(connection, sink, 'without ready');
+): Task<InternalQueryResult> {
+  const sink = new FirstColumnSink();
+  const exchange = new Exchange(connection, sink, 'without ReadyForQuery');
   const bytes = serialize.query(text);
-  exchange.send({bytes, shownParses: [], hiddenCloses: 0}, true);
+  exchange.send({bytes, relayedParses: [], hiddenCloseCount: 0}, true);
   const end = yield* exchange.wait();
   return {end, firstValues: sink.values};
 }
 
-/** Whether a query came to its end without an error. */
-export function succeeded({end}: OwnAnswer): boolean {
+/** Whether a query completed without an error. */
+export function succeeded({end}: InternalQueryResult): boolean {
   return end.status !== undefined && end.error === undefined;
 }
 
-/** A text as an SQL literal. */
+/** Quotes a text as an SQL literal, for standard_conforming_strings. */
 export function quoteLiteral(text: string): string {
   return `'${text.replaceAll("'", "''")}'`;
 }
 
-class FirstValues implements AnswerSink {
+class FirstColumnSink implements ReplySink {
   readonly values: string[] = [];
-  private readonly splitter = new FrameDecoder(MOST_BYTES);
+  private readonly decoder = new FrameDecoder(MAX_FRAME_BYTES);
 
   send(bytes: Buffer): boolean {
-    const frames = this.splitter.push(bytes);
+    const frames = this.decoder.push(bytes);
     if ('type' in frames) return true;
     for (const frame of frames) {
       if (frame.type !== DATA_ROW) continue;
--- a/src/proxy/node/keyed_write.ts
+++ b/src/proxy/node/keyed_write.ts
@@ -10,41 +10,40 @@
   type Diagnostic,
 } from '../../services/wire/common/backend';
 import {BatchEncoder, type BatchMessage} from '../common/batch';
-import {notRunError, unknownError} from '../common/diagnostics';
-import {Exchange, type AnswerSink, type ExchangeEnd} from './exchange';
+import {notRunError, unknownOutcomeError} from '../common/diagnostics';
+import {Exchange, type ReplySink, type ExchangeEnd} from './exchange';
 import {
   quoteLiteral,
-  runOwnQuery,
+  runInternalQuery,
   succeeded,
-  type OwnAnswer,
+  type InternalQueryResult,
 } from './internal_query';
-import {acknowledge, Place} from './checked_out_connection';
+import {waitForCommit, CheckedOutConnection} from './checked_out_connection';
 import {classSettingsOf, type SessionContext} from './session_context';
 
-const TABLE = 'bulrush_requests';
-const CREATE_TABLE = `CREATE TABLE IF NOT EXISTS ${TABLE} (key text PRIMARY KEY, answer text)`;
+const KEY_TABLE = 'bulrush_requests';
+const CREATE_KEY_TABLE = `CREATE TABLE IF NOT EXISTS ${KEY_TABLE} (key text PRIMARY KEY, answer text)`;
 const UNDEFINED_TABLE = '42P01';
-const UNIQUE_VIOLATION = '23505';
+const DUPLICATE_KEY = '23505';
 const SERIALIZATION_FAILURE = '40001';
 const READ_ONLY = '25006';
-/** The longest answer that is kept for a repeat, in bytes. */
-const MOST_ANSWER_BYTES = 64 * 1024;
-const RETRY_MS = 15;
+/** The longest reply that is stored for retries. */
+const MAX_REPLY_BYTES = 64 * 1024;
+const RETRY_DELAY_MS = 15;
 
-/** How one try came out. */
-type Attempt =
-  | {readonly kind: 'answered'; readonly bytes: Buffer}
+/** How one attempt ended. */
+type AttemptResult =
+  | {readonly kind: 'committed'; readonly bytes: Buffer}
   | {readonly kind: 'failed'; readonly diagnostic: Diagnostic}
-  /** The target or term was lost: only the key knows what was done. */
-  | {readonly kind: 'try again'};
+  /** The outcome is unknown or nothing was done; the key decides. */
+  | {readonly kind: 'retry'};
 
 /**
- * A write that runs at most once for its key, however often it is sent.
+ * A write with a request key, which commits at most once.
  *
- * The key is inserted in the transaction of the write itself. Guard against a
- * doubled lodgement after a lost answer: a repeat, on any proxy and after any
- * change of primary, meets the key and gets the first answer; and since a
- * second insert cannot commit, trying again after a loss is safe.
+ * Guard: a write retried after a lost reply is not doubled. The key is inserted
+ * in the same transaction, so that a retry through any proxy, also after a
+ * change of primary, finds it and gets the stored reply.
  */
 export class KeyedWrite {
   constructor(
@@ -57,131 +56,153 @@
     const {clock} = this.context;
     const {deadlineMs} = classSettingsOf(this.context);
     const deadline = clock.now() + deadlineMs;
-    let sent = false;
+    let hasAttempted = false;
     while (clock.now() < deadline) {
-      const taken = yield* Place.take(this.context, 'write', deadline);
-      if (taken.isErr) {
-        const diagnostic = sent ? unknownError() : notRunError(taken.error);
-        return this.fail(diagnostic);
+      const checkout = yield* CheckedOutConnection.checkOut(
+        this.context,
+        'write',
+        deadline,
+      );
+      if (checkout.isErr) {
+        const diagnostic = hasAttempted
+          ? unknownOutcomeError()
+          : notRunError(checkout.error);
+        return this.sendError(diagnostic);
       }
-      sent = true;
-      const attempt = yield* this.attempt(taken.value, deadline);
-      if (attempt.kind === 'failed') return this.fail(attempt.diagnostic);
-      if (attempt.kind === 'answered') return this.answer(attempt.bytes);
-      yield* pause(RETRY_MS);
+      hasAttempted = true;
+      const result = yield* this.attemptOnce(checkout.value, deadline);
+      if (result.kind === 'failed') return this.sendError(result.diagnostic);
+      if (result.kind === 'committed') return this.sendReply(result.bytes);
+      yield* pause(RETRY_DELAY_MS);
     }
-    this.fail(unknownError());
+    this.sendError(unknownOutcomeError());
   }
 
-  private *attempt(place: Place, deadline: number): Task<Attempt> {
-    const patience = Math.max(0, deadline - this.context.clock.now());
-    const gone = this.context.connection.closedSignal;
-    // A target that never answers must not hold the caller past its deadline.
-    const stopTimer = after(gone, patience, () => place.connection.destroy());
-    const prepared = yield* place.prepare();
-    const attempt = prepared
-      ? yield* this.transact(place, deadline)
-      : ({kind: 'try again'} as const);
+  private *attemptOnce(
+    checkedOut: CheckedOutConnection,
+    deadline: number,
+  ): Task<AttemptResult> {
+    const remainingMs = Math.max(0, deadline - this.context.clock.now());
+    const closedSignal = this.context.connection.closedSignal;
+    // A hanging target must not delay the reply past the deadline.
+    const stopTimer = after(closedSignal, remainingMs, () =>
+      checkedOut.connection.destroy(),
+    );
+    const hasSettings = yield* checkedOut.applySettings();
+    const result = hasSettings
+      ? yield* this.runTransaction(checkedOut, deadline)
+      : ({kind: 'retry'} as const);
     stopTimer();
-    yield* place.release(!place.connection.isClosed);
-    return attempt;
+    yield* checkedOut.release(!checkedOut.connection.isClosed);
+    return result;
   }
 
-  private *transact(place: Place, deadline: number): Task<Attempt> {
-    const {connection} = place;
+  private *runTransaction(
+    checkedOut: CheckedOutConnection,
+    deadline: number,
+  ): Task<AttemptResult> {
+    const {connection} = checkedOut;
     const key = quoteLiteral(this.key);
-    const begun = yield* runOwnQuery(
+    const inserted = yield* runInternalQuery(
       connection,
-      `BEGIN; INSERT INTO ${TABLE} (key, answer) VALUES (${key}, '')`,
+      `BEGIN; INSERT INTO ${KEY_TABLE} (key, answer) VALUES (${key}, '')`,
     );
-    if (!succeeded(begun)) {
-      return yield* this.afterNoKey(place, begun, deadline);
+    if (!succeeded(inserted)) {
+      return yield* this.onInsertFailed(checkedOut, inserted, deadline);
     }
-    const sink = new AnswerBuffer();
-    const end = yield* this.runBatch(place, sink);
-    if (end.status === undefined) return {kind: 'try again'};
-    if (end.error) return yield* this.undo(place, end.error);
-    if (sink.isTooLong) return yield* this.undo(place, answerTooLong());
-    const answer = quoteLiteral(sink.bytes.toString('base64'));
-    const ended = yield* runOwnQuery(
+    const sink = new ReplyBuffer();
+    const end = yield* this.runBatch(checkedOut, sink);
+    if (end.status === undefined) return {kind: 'retry'};
+    if (end.error) return yield* this.rollBack(checkedOut, end.error);
+    if (sink.isTooLong) return yield* this.rollBack(checkedOut, replyTooLong());
+    const reply = quoteLiteral(sink.bytes.toString('base64'));
+    const committed = yield* runInternalQuery(
       connection,
-      `UPDATE ${TABLE} SET answer = ${answer} WHERE key = ${key}; COMMIT`,
+      `UPDATE ${KEY_TABLE} SET answer = ${reply} WHERE key = ${key}; COMMIT`,
     );
-    return yield* this.afterCommit(ended, sink.bytes, deadline);
+    return yield* this.onCommitted(committed, sink.bytes, deadline);
   }
 
-  /** The key could not be inserted: it is taken, or its table is missing. */
-  private *afterNoKey(
-    place: Place,
-    begun: OwnAnswer,
+  /** The key exists, its table is missing, or the target is read-only. */
+  private *onInsertFailed(
+    checkedOut: CheckedOutConnection,
+    inserted: InternalQueryResult,
     deadline: number,
-  ): Task<Attempt> {
-    const code = begun.end.error?.code;
-    if (begun.end.status === undefined) return {kind: 'try again'};
-    yield* runOwnQuery(place.connection, 'ROLLBACK');
-    if (code === UNIQUE_VIOLATION) return yield* this.repeat(place, deadline);
+  ): Task<AttemptResult> {
+    const code = inserted.end.error?.code;
+    if (inserted.end.status === undefined) return {kind: 'retry'};
+    yield* runInternalQuery(checkedOut.connection, 'ROLLBACK');
+    if (code === DUPLICATE_KEY) return yield* this.replay(checkedOut, deadline);
     if (code === UNDEFINED_TABLE) {
-      yield* runOwnQuery(place.connection, CREATE_TABLE);
-      return {kind: 'try again'};
+      yield* runInternalQuery(checkedOut.connection, CREATE_KEY_TABLE);
+      return {kind: 'retry'};
     }
-    if (code === READ_ONLY) return {kind: 'try again'};
-    return {kind: 'failed', diagnostic: begun.end.error!};
+    if (code === READ_ONLY) return {kind: 'retry'};
+    return {kind: 'failed', diagnostic: inserted.end.error!};
   }
 
   /**
-   * Gives the first answer again. The update changes nothing but gives a
-   * position: the first commit, too, must be on a replica before it is
-   * acknowledged here.
+   * Sends the stored reply again. The update changes nothing; its commit gives
+   * a position, whose confirmation by replicas covers the first commit as well.
    */
-  private *repeat(place: Place, deadline: number): Task<Attempt> {
+  private *replay(
+    checkedOut: CheckedOutConnection,
+    deadline: number,
+  ): Task<AttemptResult> {
     const key = quoteLiteral(this.key);
-    const found = yield* runOwnQuery(
-      place.connection,
-      `SELECT answer FROM ${TABLE} WHERE key = ${key}`,
+    const found = yield* runInternalQuery(
+      checkedOut.connection,
+      `SELECT answer FROM ${KEY_TABLE} WHERE key = ${key}`,
     );
-    const [answer] = found.firstValues;
-    if (!succeeded(found) || answer === undefined) return {kind: 'try again'};
-    const touched = yield* runOwnQuery(
-      place.connection,
-      `UPDATE ${TABLE} SET answer = answer WHERE key = ${key}`,
+    const [reply] = found.firstValues;
+    if (!succeeded(found) || reply === undefined) return {kind: 'retry'};
+    const updated = yield* runInternalQuery(
+      checkedOut.connection,
+      `UPDATE ${KEY_TABLE} SET answer = answer WHERE key = ${key}`,
     );
-    const bytes = Buffer.from(answer, 'base64');
-    return yield* this.afterCommit(touched, bytes, deadline);
+    const bytes = Buffer.from(reply, 'base64');
+    return yield* this.onCommitted(updated, bytes, deadline);
   }
 
-  private *afterCommit(
-    ended: OwnAnswer,
+  private *onCommitted(
+    committed: InternalQueryResult,
     bytes: Buffer,
     deadline: number,
-  ): Task<Attempt> {
-    const {error, position} = ended.end;
-    // Two requests with one key at a time: the later one meets the key.
-    const lostRace =
-      error?.code === UNIQUE_VIOLATION || error?.code === SERIALIZATION_FAILURE;
-    if (lostRace || error?.code === READ_ONLY) return {kind: 'try again'};
+  ): Task<AttemptResult> {
+    const {error, position} = committed.end;
+    // A concurrent request with the same key committed first.
+    const isKeyTaken =
+      error?.code === DUPLICATE_KEY || error?.code === SERIALIZATION_FAILURE;
+    if (isKeyTaken || error?.code === READ_ONLY) return {kind: 'retry'};
     if (error) return {kind: 'failed', diagnostic: error};
-    if (!position) return {kind: 'try again'};
-    const {outcome, position: at} = yield* acknowledge(
+    if (!position) return {kind: 'retry'};
+    const {outcome, position: acknowledged} = yield* waitForCommit(
       this.context,
       position,
       deadline,
     );
-    if (outcome !== 'done') return {kind: 'try again'};
-    this.context.state.recordPosition(at);
-    return {kind: 'answered', bytes};
+    if (outcome !== 'done') return {kind: 'retry'};
+    this.context.state.recordPosition(acknowledged);
+    return {kind: 'committed', bytes};
   }
 
-  private *undo(place: Place, diagnostic: Diagnostic): Task<Attempt> {
-    yield* runOwnQuery(place.connection, 'ROLLBACK');
-    if (diagnostic.code === READ_ONLY) return {kind: 'try again'};
+  private *rollBack(
+    checkedOut: CheckedOutConnection,
+    diagnostic: Diagnostic,
+  ): Task<AttemptResult> {
+    yield* runInternalQuery(checkedOut.connection, 'ROLLBACK');
+    if (diagnostic.code === READ_ONLY) return {kind: 'retry'};
     return {kind: 'failed', diagnostic};
   }
 
-  private *runBatch(place: Place, sink: AnswerSink): Task<ExchangeEnd> {
-    const {connection} = place;
-    const exchange = new Exchange(connection, sink, 'without ready');
+  private *runBatch(
+    checkedOut: CheckedOutConnection,
+    sink: ReplySink,
+  ): Task<ExchangeEnd> {
+    const {connection} = checkedOut;
+    const exchange = new Exchange(connection, sink, 'without ReadyForQuery');
     const encoder = new BatchEncoder(
-      this.context.named,
+      this.context.preparedStatements,
       connection.preparedStatements,
     );
     exchange.send(encoder.encode(this.messages), true);
@@ -189,14 +210,16 @@
     return end;
   }
 
-  private answer(bytes: Buffer): void {
+  private sendReply(bytes: Buffer): void {
     const {connection, state} = this.context;
     const position = formatPosition(state.requiredPosition!);
-    const shown = encodeParameterStatus(POSITION_VARIABLE, position);
-    connection.send(Buffer.concat([bytes, shown, encodeReadyForQuery('idle')]));
+    const positionStatus = encodeParameterStatus(POSITION_VARIABLE, position);
+    connection.send(
+      Buffer.concat([bytes, positionStatus, encodeReadyForQuery('idle')]),
+    );
   }
 
-  private fail(diagnostic: Diagnostic): void {
+  private sendError(diagnostic: Diagnostic): void {
     const error = encodeError(diagnostic);
     this.context.connection.send(
       Buffer.concat([error, encodeReadyForQuery('idle')]),
@@ -204,21 +227,21 @@
   }
 }
 
-class AnswerBuffer implements AnswerSink {
-  private readonly parts: Buffer[] = [];
+class ReplyBuffer implements ReplySink {
+  private readonly chunks: Buffer[] = [];
   private length = 0;
 
   get bytes(): Buffer {
-    return Buffer.concat(this.parts);
+    return Buffer.concat(this.chunks);
   }
 
   get isTooLong(): boolean {
-    return this.length > MOST_ANSWER_BYTES;
+    return this.length > MAX_REPLY_BYTES;
   }
 
   send(bytes: Buffer): boolean {
     this.length += bytes.length;
-    if (!this.isTooLong) this.parts.push(Buffer.from(bytes));
+    if (!this.isTooLong) this.chunks.push(Buffer.from(bytes));
     return true;
   }
 
@@ -227,10 +250,10 @@
   }
 }
 
-function answerTooLong(): Diagnostic {
+function replyTooLong(): Diagnostic {
   return {
     severity: 'ERROR',
     code: '54000',
-    message: `not run: the answer of a write with a request key has at most ${MOST_ANSWER_BYTES} bytes`,
+    message: `not run: the answer of a write with a request key has at most ${MAX_REPLY_BYTES} bytes`,
   };
 }
--- a/src/proxy/node/local_statement.ts
+++ b/src/proxy/node/local_statement.ts
@@ -17,79 +17,84 @@
 } from '../../services/wire/common/backend';
 import type {BatchMessage} from '../common/batch';
 
-/** The answer to a statement that the proxy carries out by itself. */
-export interface LocalAnswer {
+/** The result of a statement that the proxy runs without a target. */
+export interface LocalResult {
+  /** The command tag of CommandComplete. */
   readonly tag: string;
-  /** The one value of SHOW, with the column's name. */
-  readonly shown: {readonly name: string; readonly value: string} | undefined;
+  /** The column that SHOW returns. */
+  readonly column: {readonly name: string; readonly value: string} | undefined;
   readonly error: Diagnostic | undefined;
 }
 
-const INVALID_PARAMETER = '22023';
+const INVALID_PARAMETER_VALUE = '22023';
 
-/**
- * Carries out a statement on the session's own state; undefined where it is
- * for a target.
- */
+/** Runs a statement on the session state; undefined if it is for a target. */
 export function runLocally(
   statement: StatementClass,
   state: SessionState,
   classes: ReadonlySet<ClassName>,
-): LocalAnswer | undefined {
+): LocalResult | undefined {
   switch (statement.kind) {
     case 'set':
-      return setOwn(statement, state, classes);
+      return setProxyVariable(statement, state, classes);
     case 'show':
-      return showOwn(statement.name, state);
+      return showProxyVariable(statement.name, state);
     case 'resetAll':
       state.clearSettings();
-      return done('RESET');
+      return completed('RESET');
     case 'discardAll':
       state.clearSettings();
-      return done('DISCARD ALL');
+      return completed('DISCARD ALL');
     default:
       return undefined;
   }
 }
 
-function setOwn(
+function setProxyVariable(
   {name, value}: Extract<StatementClass, {kind: 'set'}>,
   state: SessionState,
   classes: ReadonlySet<ClassName>,
-): LocalAnswer | undefined {
+): LocalResult | undefined {
   if (!SessionState.isProxyVariable(name)) return undefined;
-  const fault = state.setProxyVariable(name, value, classes);
-  if (!fault) return done('SET');
-  const {message} = fault;
-  const error = {severity: 'ERROR', code: INVALID_PARAMETER, message} as const;
-  return {tag: '', shown: undefined, error};
+  const invalid = state.setProxyVariable(name, value, classes);
+  if (!invalid) return completed('SET');
+  const {message} = invalid;
+  const error = {
+    severity: 'ERROR',
+    code: INVALID_PARAMETER_VALUE,
+    message,
+  } as const;
+  return {tag: '', column: undefined, error};
 }
 
-function showOwn(name: string, state: SessionState): LocalAnswer | undefined {
+function showProxyVariable(
+  name: string,
+  state: SessionState,
+): LocalResult | undefined {
   const value = state.showProxyVariable(name);
   if (value === undefined) return undefined;
-  return {tag: 'SHOW', shown: {name, value}, error: undefined};
+  return {tag: 'SHOW', column: {name, value}, error: undefined};
 }
 
-function done(tag: string): LocalAnswer {
-  return {tag, shown: undefined, error: undefined};
+function completed(tag: string): LocalResult {
+  return {tag, column: undefined, error: undefined};
 }
 
-/** The bytes that answer a batch of one local statement. */
-export function encodeLocalAnswer(
+/** Encodes the reply to a batch of one local statement. */
+export function encodeLocalResult(
   messages: readonly BatchMessage[],
-  answer: LocalAnswer,
+  result: LocalResult,
 ): Buffer {
-  if (answer.error) {
+  if (result.error) {
     return Buffer.concat([
-      encodeError(answer.error),
+      encodeError(result.error),
       encodeReadyForQuery('idle'),
     ]);
   }
   const parts = messages.flatMap(({message}) => {
     switch (message.kind) {
       case 'query':
-        return [...description(answer), ...rowAndEnd(answer)];
+        return [...encodeDescription(result), ...encodeExecution(result)];
       case 'parse':
         return [PARSE_COMPLETE];
       case 'bind':
@@ -101,11 +106,11 @@
           message.objectKind === 'statement'
             ? [encodeParameterDescription([])]
             : [];
-        const columns = description(answer);
+        const columns = encodeDescription(result);
         return [...parameters, ...(columns.length > 0 ? columns : [NO_DATA])];
       }
       case 'execute':
-        return rowAndEnd(answer);
+        return encodeExecution(result);
       default:
         return [];
     }
@@ -113,12 +118,12 @@
   return Buffer.concat([...parts, encodeReadyForQuery('idle')]);
 }
 
-function description({shown}: LocalAnswer): Buffer[] {
-  if (!shown) return [];
-  return [encodeRowDescription([{name: shown.name, type: TYPE_TEXT}])];
+function encodeDescription({column}: LocalResult): Buffer[] {
+  if (!column) return [];
+  return [encodeRowDescription([{name: column.name, type: TYPE_TEXT}])];
 }
 
-function rowAndEnd({shown, tag}: LocalAnswer): Buffer[] {
-  const row = shown ? [encodeDataRow([shown.value])] : [];
+function encodeExecution({column, tag}: LocalResult): Buffer[] {
+  const row = column ? [encodeDataRow([column.value])] : [];
   return [...row, encodeCommandComplete(tag)];
 }
--- a/src/proxy/node/main.ts
+++ b/src/proxy/node/main.ts
@@ -47,12 +47,12 @@
 async function main(args: Arguments): Promise<void> {
   configureLogs(args.jsonLogs ? 'json' : 'text', args.verbose);
   const log = createLog('proxy');
-  const callersAddress = checkedAddress('--listen', args.listen);
-  const statusAddress = checkedAddress('--status', args.status);
-  let settings = checkedSettings(args);
+  const callersAddress = parseAddressOrExit('--listen', args.listen);
+  const statusAddress = parseAddressOrExit('--status', args.status);
+  let settings = loadSettingsOrExit(args);
   let settingsVersion = 0;
   const {system} = settings;
-  const stop = stopSignal();
+  const stopRequested = stopSignal();
   const running = ownController();
   const {signal} = running;
   const clock = new MonotonicClock();
@@ -60,9 +60,9 @@
   const site = siteId(settings.proxy.site);
   const services = new ProxyServices(settings, site, clock, signal);
 
-  const links = createServer();
-  links.addService(AnnouncementService, services.observer.handlers);
-  const listening = await listen(links, args.announcements, signal);
+  const announcements = createServer();
+  announcements.addService(AnnouncementService, services.observer.handlers);
+  const listening = await listen(announcements, args.announcements, signal);
   if (listening.isErr) fail(EXIT_UNAVAILABLE, [listening.error.message]);
   services.observer.start(system.pingMs, signal);
 
@@ -74,12 +74,15 @@
     settingsVersion = version;
     if (parsed.isErr) {
       const faults = parsed.error.map(formatSettingsError).join('; ');
-      log.error('The overlay does not fit the settings.', {version, faults});
+      log.error('The overlay is invalid for the new settings.', {
+        version,
+        faults,
+      });
       return;
     }
     settings = parsed.value;
     services.applySettings(settings);
-    log.info('Settings are in force.', {version});
+    log.info('Applied the settings.', {version});
   };
   const control = new ControlLink(
     {
@@ -124,16 +127,16 @@
     fail(EXIT_UNAVAILABLE, [`proxy: ${toError(thrown).message}`]);
   }
   log.info('Ready.', {instance: args.instance, address: args.listen});
-  stop.addEventListener('abort', () => {
+  stopRequested.addEventListener('abort', () => {
     void callers.drain().then(() => {
       running.abort();
-      // gRPC keeps handles for a moment; nothing of ours is left to do.
+      // gRPC keeps handles open for a while; exit does not wait for them.
       process.exit(0);
     });
   });
 }
 
-function checkedSettings(args: Arguments): Settings {
+function loadSettingsOrExit(args: Arguments): Settings {
   const settings = loadSettings(args.settings, args.overlay);
   if (settings.isErr) {
     fail(EXIT_SETTINGS, settings.error.map(formatSettingsError));
@@ -141,7 +144,7 @@
   return settings.value;
 }
 
-function checkedAddress(name: string, text: string): Address {
+function parseAddressOrExit(name: string, text: string): Address {
   const address = parseAddress(text);
   if (!address) fail(EXIT_USAGE, [`${name} ${text}: host:port is allowed`]);
   return address;
@@ -150,13 +153,17 @@
 const program = command({
   name: 'bulrushstage-proxy',
   version: VERSION,
-  description: 'Speaks PostgreSQL to callers and sends them to targets.',
+  description:
+    'Serves PostgreSQL callers and routes their transactions to targets.',
   args: {
     settings: textOption('settings', 'base file of the settings'),
-    overlay: textOption('overlay', 'overlay of the site', ''),
+    overlay: textOption('overlay', 'settings overlay of the site', ''),
     instance: textOption('instance', 'name of this instance'),
     listen: textOption('listen', 'host:port for callers'),
-    announcements: textOption('announcements', 'host:port for targets'),
+    announcements: textOption(
+      'announcements',
+      'host:port for announcements of targets',
+    ),
     status: textOption('status', 'host:port of the status endpoint'),
     jsonLogs: flag({long: 'json-logs', description: 'log lines as JSON'}),
     verbose: flag({long: 'verbose', description: 'log more'}),
--- a/src/proxy/node/proxy_services.ts
+++ b/src/proxy/node/proxy_services.ts
@@ -28,12 +28,12 @@
   readonly controller: AbortController;
 }
 
-/** The services of this proxy, each with the task that decides for it. */
+/** The services of this proxy, each with the router task that owns it. */
 export class ProxyServices implements TargetListener {
   readonly directory = new TargetDirectory();
   readonly observer: AnnouncementObserver;
   private readonly running = new Map<ServiceName, RunningService>();
-  private readonly newsListeners = new Set<() => void>();
+  private readonly reportListeners = new Set<() => void>();
 
   constructor(
     private settings: Settings,
@@ -45,9 +45,9 @@
     this.applySettings(settings);
   }
 
-  /** Calls back when control should hear from this proxy soon. */
-  onDidHaveNews(listener: () => void): void {
-    this.newsListeners.add(listener);
+  /** Calls the listener when a report should be sent to control soon. */
+  onDidHaveReport(listener: () => void): void {
+    this.reportListeners.add(listener);
   }
 
   router(service: ServiceName): ServiceRouter | undefined {
@@ -58,7 +58,7 @@
     return this.running;
   }
 
-  /** Puts settings in force: services come, change and go. */
+  /** Applies settings: starts, updates and stops services. */
   applySettings(settings: Settings): void {
     this.settings = settings;
     for (const [service, {controller}] of this.running) {
@@ -66,53 +66,59 @@
       controller.abort();
       this.running.delete(service);
     }
-    for (const [service, own] of settings.services) {
-      const known = this.running.get(service);
-      if (known) known.router.post({kind: 'settings', settings: own});
+    for (const [service, updated] of settings.services) {
+      const current = this.running.get(service);
+      if (current) current.router.post({kind: 'settings', settings: updated});
       else this.startService(service);
     }
   }
 
-  /** Takes in an answer of control. */
-  onGrant(grant: LeaseGrant, askedAt: number | undefined, now: number): void {
+  /** Applies a grant of control; without a request time it was pushed. */
+  onGrant(
+    grant: LeaseGrant,
+    requestedAt: number | undefined,
+    now: number,
+  ): void {
     for (const {record} of grant.services) {
       if (!record) continue;
       const router = this.router(serviceName(record.name));
       router?.post({kind: 'record', record});
     }
-    const closed = new Set(grant.closedServices);
+    const blocked = new Set(grant.closedServices);
     for (const [service, {router}] of this.running) {
-      if (!closed.has(service)) continue;
-      const asked = askedAt ?? -Infinity;
-      router.post({kind: 'closed', askedAt: asked, answeredAt: now});
+      if (!blocked.has(service)) continue;
+      const sentAt = requestedAt ?? -Infinity;
+      router.post({kind: 'writesBlocked', requestedAt: sentAt, repliedAt: now});
     }
   }
 
-  /** Extends the lease on every term that the answer covers. */
+  /** Extends the leases on the given terms, by the name of the service. */
   extendLeases(
     terms: ReadonlyMap<string, number>,
-    askedAt: number,
+    requestedAt: number,
     leaseMs: number,
   ): void {
     for (const [service, {router}] of this.running) {
       const term = terms.get(service);
       if (term !== undefined) {
-        router.post({kind: 'lease', term, askedAt, leaseMs});
+        router.post({kind: 'lease', term, requestedAt, leaseMs});
       }
     }
   }
 
-  suspicions(): FailureReport[] {
+  /** Reports of primaries that seem to have failed. */
+  failureReports(): FailureReport[] {
     return [...this.running.values()].flatMap(({router}) => {
-      const suspicion = router.suspicion();
-      return suspicion && isSerious(suspicion) ? [suspicion] : [];
+      const report = router.failureReport();
+      return report && isReportable(report) ? [report] : [];
     });
   }
 
-  handBacks(): LeaseReturn[] {
+  /** The terms whose leases this proxy has returned, by service. */
+  leaseReturns(): LeaseReturn[] {
     return [...this.running.values()].flatMap(({router}) => {
-      const handBack = router.handBack();
-      return handBack ? [handBack] : [];
+      const leaseReturn = router.leaseReturn();
+      return leaseReturn ? [leaseReturn] : [];
     });
   }
 
@@ -124,7 +130,7 @@
     this.router(key.service)?.post({kind: 'sample', key, sample});
   }
 
-  /** Proxies give no orders. */
+  /** Only control sends orders to targets. */
   onDidAnswerOrder(): void {}
 
   private startService(service: ServiceName): void {
@@ -136,9 +142,9 @@
         directory: this.directory,
         system: this.settings.system,
         clock: this.clock,
-        distance: (from, to) => this.settings.oneWayLatencyMs(from, to),
+        siteLatency: (from, to) => this.settings.oneWayLatencyMs(from, to),
         ping: key => this.observer.ping(key),
-        onDidHaveNews: () => this.haveNews(),
+        onDidHaveReport: () => this.notifyReportListeners(),
       },
       this.settings.services.get(service)!,
       controller.signal,
@@ -147,15 +153,20 @@
     this.running.set(service, {router, controller});
   }
 
-  private haveNews(): void {
-    for (const listener of this.newsListeners) listener();
+  private notifyReportListeners(): void {
+    for (const listener of this.reportListeners) listener();
   }
 }
 
-const SERIOUS_SILENCE_MS = 100;
-
-/** Worth a word to control; a steady service costs no bytes. */
-function isSerious({silentMs, refused, unconfirmedMs}: FailureReport): boolean {
-  const silent = silentMs >= SERIOUS_SILENCE_MS;
-  return refused || silent || unconfirmedMs >= SERIOUS_SILENCE_MS;
+/** Shortest silence or confirmation delay that is reported. */
+const MIN_REPORTED_MS = 100;
+
+/** Healthy services are left out, to keep requests small. */
+function isReportable({
+  silentMs,
+  refused,
+  unconfirmedMs,
+}: FailureReport): boolean {
+  const isSilent = silentMs >= MIN_REPORTED_MS;
+  return refused || isSilent || unconfirmedMs >= MIN_REPORTED_MS;
 }
--- a/src/proxy/node/request_meter.ts
+++ b/src/proxy/node/request_meter.ts
@@ -2,15 +2,15 @@
 import type {CallerName, ClassName, ServiceName} from '../../base/common/ids';
 import type {RouteReason} from '../../services/routing/common/route_read';
 
-/** Parts of a request's time. */
+/** The measured part of a request: queueing, work on a target, or all. */
 export type Phase = 'queue' | 'target' | 'whole';
 
 export const PHASES: readonly Phase[] = ['queue', 'target', 'whole'];
 
-/** Where a request was served, or why it was not. */
+/** How a request was routed, or that it was refused. */
 export type RequestOutcome = RouteReason | 'primary for a write' | 'not run';
 
-/** Names one series: a caller's requests of a class to a service. */
+/** Labels of one series: requests of a caller and class to a service. */
 export interface SeriesName {
   readonly service: ServiceName;
   readonly caller: CallerName;
@@ -23,34 +23,34 @@
   readonly histograms: Readonly<Record<Phase, Histogram>>;
 }
 
-/** More series than this share one, so that memory stays bounded. */
-const MOST_SERIES = 2_000;
-const MOST_MICROSECONDS = 3_600_000_000;
+/** Further callers share one series per service and class. */
+const MAX_SERIES_COUNT = 2_000;
+const MAX_MICROSECONDS = 3_600_000_000;
 
-/** Counts and times requests for each caller, class and service. */
+/** Request counts by outcome, and durations by service, caller and class. */
 export class RequestMeter {
-  private readonly series = new Map<string, Series>();
-  private readonly outcomes = new Map<string, number>();
+  private readonly seriesByKey = new Map<string, Series>();
+  private readonly outcomeCounts = new Map<string, number>();
 
   count(outcome: RequestOutcome): void {
-    this.outcomes.set(outcome, (this.outcomes.get(outcome) ?? 0) + 1);
+    this.outcomeCounts.set(outcome, (this.outcomeCounts.get(outcome) ?? 0) + 1);
   }
 
-  all(): readonly Series[] {
-    return [...this.series.values()];
+  allSeries(): readonly Series[] {
+    return [...this.seriesByKey.values()];
   }
 
-  counts(): ReadonlyMap<string, number> {
-    return this.outcomes;
+  countsByOutcome(): ReadonlyMap<string, number> {
+    return this.outcomeCounts;
   }
 
-  /** The series of a name; whoever records often keeps it. */
+  /** The series with these labels, created on first use. */
   seriesOf(name: SeriesName): Series {
     const {service, caller, requestClass} = name;
     const key = `${service}\0${caller}\0${requestClass}`;
-    const known = this.series.get(key);
-    if (known) return known;
-    const isFull = this.series.size >= MOST_SERIES;
+    const existing = this.seriesByKey.get(key);
+    if (existing) return existing;
+    const isFull = this.seriesByKey.size >= MAX_SERIES_COUNT;
     if (isFull && caller !== OTHER_CALLERS) {
       return this.seriesOf({...name, caller: OTHER_CALLERS});
     }
@@ -62,12 +62,12 @@
         whole: newHistogram(),
       },
     };
-    this.series.set(key, series);
+    this.seriesByKey.set(key, series);
     return series;
   }
 }
 
-/** Records the times of one session, whose class may change. */
+/** Records the requests of one session, whose class may change. */
 export class SessionMeter {
   private series: Series | undefined;
 
@@ -77,10 +77,9 @@
     private readonly caller: CallerName,
   ) {}
 
-  /** Notes the time that a part of a request took, in milliseconds. */
   record(requestClass: ClassName, phase: Phase, milliseconds: number): void {
-    const micros = Math.max(0, Math.round(milliseconds * 1_000));
-    const value = Math.min(micros, MOST_MICROSECONDS);
+    const microseconds = Math.max(0, Math.round(milliseconds * 1_000));
+    const value = Math.min(microseconds, MAX_MICROSECONDS);
     this.seriesOf(requestClass).histograms[phase].recordValue(value);
   }
 
@@ -101,7 +100,7 @@
 function newHistogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: MOST_MICROSECONDS,
+    highestTrackableValue: MAX_MICROSECONDS,
     numberOfSignificantValueDigits: 2,
     autoResize: true,
   });
--- a/src/proxy/node/service_router.ts
+++ b/src/proxy/node/service_router.ts
@@ -43,42 +43,41 @@
   type ServiceRecord,
   type FailureReport,
 } from '../../schema/generated/control';
-import {ArrivalPositions} from '../common/initial_positions';
-import {ArrivalQuestion} from '../common/position_poll';
-import type {NotRun} from '../common/checkout_refusal';
-import type {Grant, PlaceRequest} from './checkout_request';
-import {DispatchView} from './candidate_cache';
+import {InitialPositions} from '../common/initial_positions';
+import {PositionPoll} from '../common/position_poll';
+import type {CheckoutRefusal} from '../common/checkout_refusal';
+import type {Checkout, CheckoutRequest} from './checkout_request';
+import {CandidateCache} from './candidate_cache';
 import {ServiceTargets} from './service_targets';
 
-const TICK_MS = 25;
-/** Running writes are waited for this long before a planned change. */
-const PLANNED_PATIENCE_MS = 500;
-/** Told to callers where nothing better is known, in milliseconds. */
-const DEFAULT_RETRY_MS = 200;
+const TICK_INTERVAL_MS = 25;
+/** How long a planned change of primary waits for transactions. */
+const PLANNED_CHANGE_WAIT_MS = 500;
+const MIN_RETRY_AFTER_MS = 200;
 const SERVICE_TIME_WEIGHT = 0.05;
 
 /** How a transaction on a target ended. */
 export interface Release {
   readonly connection: TargetConnection;
   readonly instance: InstanceId;
-  readonly onPrimary: boolean;
-  /** Nothing of the session is left on the connection. */
-  readonly clean: boolean;
-  /** The target answered; false where it failed or did not in time. */
-  readonly answered: boolean;
+  readonly isOnPrimary: boolean;
+  /** No session state is left on the connection. */
+  readonly isClean: boolean;
+  /** Whether the target replied; false if it was lost or timed out. */
+  readonly hasReplied: boolean;
   readonly startedAt: number;
 }
 
-/** A commit that waits for its acknowledgement. */
+/** A commit whose caller waits for the acknowledgement. */
 export interface Acknowledgement {
   readonly position: Position;
   readonly deadline: number;
-  readonly settle: (outcome: CommitOutcome, position: Position) => void;
+  readonly resolve: (outcome: CommitOutcome, position: Position) => void;
 }
 
 type RouterMessage =
-  | {readonly kind: 'request'; readonly request: PlaceRequest}
-  | {readonly kind: 'withdraw'; readonly request: PlaceRequest}
+  | {readonly kind: 'request'; readonly request: CheckoutRequest}
+  | {readonly kind: 'withdraw'; readonly request: CheckoutRequest}
   | {readonly kind: 'release'; readonly release: Release}
   | {readonly kind: 'acknowledge'; readonly commit: Acknowledgement}
   | {
@@ -91,69 +90,67 @@
       readonly key: TargetKey;
       readonly sample: PositionSample;
     }
+  | {readonly kind: 'record'; readonly record: ServiceRecord}
+  /** Control reports that no proxy can acknowledge writes. */
   | {
-      readonly kind: 'record';
-      readonly record: ServiceRecord;
-    }
-  /** Control says that nobody can acknowledge writes. */
-  | {
-      readonly kind: 'closed';
-      readonly askedAt: number;
-      readonly answeredAt: number;
+      readonly kind: 'writesBlocked';
+      readonly requestedAt: number;
+      readonly repliedAt: number;
     }
   | {
       readonly kind: 'lease';
       readonly term: number;
-      readonly askedAt: number;
+      readonly requestedAt: number;
       readonly leaseMs: number;
     }
   | {readonly kind: 'settings'; readonly settings: ServiceSettings}
-  | {readonly kind: 'free'}
+  | {readonly kind: 'dispatch'}
   | {readonly kind: 'tick'};
 
-export interface RouterSurroundings {
+/** Dependencies of the router of one service. */
+export interface RouterDependencies {
   readonly service: ServiceName;
   readonly site: SiteId;
   readonly directory: TargetDirectory;
   readonly system: SystemSettings;
   readonly clock: Clock;
-  readonly distance: SiteLatency;
+  readonly siteLatency: SiteLatency;
   ping(key: TargetKey): void;
-  /** Control should hear soon: a term given up, a primary lost. */
-  onDidHaveNews(): void;
+  /** A lease was returned or the primary lost; control should know soon. */
+  onDidHaveReport(): void;
 }
 
 /**
- * The task that owns all decisions of one service at one proxy: its lease,
- * pools, queue, positions and commits. Sessions talk to it by messages.
+ * The task that makes all decisions of one service at one proxy: lease, pools,
+ * queue, positions and commits. Sessions send it messages.
  */
 export class ServiceRouter {
   readonly lease: TermLease;
   private readonly mailbox = new Mailbox<RouterMessage>(65_536);
-  private readonly queue = new FairQueue<PlaceRequest>();
+  private readonly queue = new FairQueue<CheckoutRequest>();
   private readonly history = new OffsetHistory();
-  private readonly arrivals = new ArrivalPositions();
-  private readonly arrivalQuestion: ArrivalQuestion;
+  private readonly initialPositions = new InitialPositions();
+  private readonly positionPoll: PositionPoll;
   private readonly targets: ServiceTargets;
   private readonly commits: PendingCommits;
   private record: ServiceRecord | undefined;
-  private lineage = new TermHistory(0, []);
+  private termHistory = new TermHistory(0, []);
   private lastPrimary: InstanceId | undefined;
-  private writesRunning = 0;
-  private changeSeenAt = 0;
+  private primaryInUseCount = 0;
+  private termChangedAt = 0;
   private reportedLossTerm = 0;
-  private serviceTimeMs = 1;
-  private freeQueued = false;
+  private meanServiceMs = 1;
+  private isDispatchQueued = false;
 
   constructor(
-    private readonly around: RouterSurroundings,
+    private readonly dependencies: RouterDependencies,
     private settings: ServiceSettings,
     private readonly signal: AbortSignal,
   ) {
-    const {clock, service, site, directory, system, distance} = around;
+    const {clock, service, site, directory, system, siteLatency} = dependencies;
     this.lease = new TermLease(clock);
-    this.arrivalQuestion = new ArrivalQuestion(clock, () => {
-      for (const {key} of directory.targetsOf(service)) around.ping(key);
+    this.positionPoll = new PositionPoll(clock, () => {
+      for (const {key} of directory.targetsOf(service)) dependencies.ping(key);
     });
     this.commits = new PendingCommits(this.lease, settings.confirmations);
     this.targets = new ServiceTargets(
@@ -164,8 +161,8 @@
         history: this.history,
         system,
         clock,
-        distance,
-        onDidFree: () => this.noteFree(),
+        siteLatency,
+        onDidFreeConnection: () => this.queueDispatch(),
       },
       settings,
       signal,
@@ -173,30 +170,30 @@
   }
 
   start(): void {
-    every(this.signal, TICK_MS, () => this.post({kind: 'tick'}));
+    every(this.signal, TICK_INTERVAL_MS, () => this.post({kind: 'tick'}));
     this.signal.addEventListener('abort', () => this.mailbox.close());
-    void startTask(`router ${this.around.service}`, () => this.run());
+    void startTask(`router ${this.dependencies.service}`, () => this.run());
   }
 
-  /** False where the router is overrun. */
+  /** False if the mailbox is full or closed. */
   post(message: RouterMessage): boolean {
     return this.mailbox.post(message);
   }
 
-  /** The term and primary in force, as this proxy knows them. */
+  /** The newest term and primary that control sent; undefined before. */
   get serviceRecord(): ServiceRecord | undefined {
     return this.record;
   }
 
-  get queued(): number {
+  get queuedCount(): number {
     return this.queue.size;
   }
 
-  /** What control should know with the next question for a lease. */
-  suspicion(): FailureReport | undefined {
+  /** How the primary looks from here, for the next lease request. */
+  failureReport(): FailureReport | undefined {
     const {record} = this;
     if (record?.phase !== Phase.PHASE_STEADY) return undefined;
-    const {directory, service, clock} = this.around;
+    const {directory, service, clock} = this.dependencies;
     const now = clock.now();
     const primary = directory.targetsOf(service).find(({key}) => {
       return key.instance === record.primary;
@@ -208,13 +205,17 @@
     return {service, term, silentMs, refused, unconfirmedMs};
   }
 
-  /** This proxy's word about terms that it has given up. */
-  handBack(): LeaseReturn | undefined {
+  /** The terms whose leases were returned for a pending change of primary. */
+  leaseReturn(): LeaseReturn | undefined {
     const {record} = this;
     if (!record || record.phase !== Phase.PHASE_CHANGING) return undefined;
     if (this.lease.term < record.term) return undefined;
     const highest = this.lease.highestAcknowledged;
-    return {service: this.around.service, belowTerm: record.term, highest};
+    return {
+      service: this.dependencies.service,
+      belowTerm: record.term,
+      highest,
+    };
   }
 
   private *run(): Task<void> {
@@ -226,7 +227,7 @@
   }
 
   private handle(message: RouterMessage): void {
-    const now = this.around.clock.now();
+    const now = this.dependencies.clock.now();
     switch (message.kind) {
       case 'request':
         return this.onRequest(message.request, now);
@@ -236,8 +237,8 @@
       case 'release':
         return this.onRelease(message.release, now);
       case 'acknowledge': {
-        const {position, deadline, settle} = message.commit;
-        return this.commits.add(position, deadline, now, settle);
+        const {position, deadline, resolve} = message.commit;
+        return this.commits.add(position, deadline, now, resolve);
       }
       case 'target':
         return this.onTarget(message.key, message.status);
@@ -245,17 +246,17 @@
         return this.onSample(message.key, message.sample, now);
       case 'record':
         return this.onRecord(message.record, now);
-      case 'closed':
+      case 'writesBlocked':
         return this.history.onWritesBlocked(
-          message.askedAt,
-          message.answeredAt,
+          message.requestedAt,
+          message.repliedAt,
         );
       case 'lease':
-        return this.onLease(message.term, message.askedAt, message.leaseMs);
+        return this.onLease(message.term, message.requestedAt, message.leaseMs);
       case 'settings':
         return this.onSettings(message.settings);
-      case 'free':
-        this.freeQueued = false;
+      case 'dispatch':
+        this.isDispatchQueued = false;
         return this.dispatch();
       case 'tick':
         return this.onTick(now);
@@ -264,20 +265,23 @@
 
   // ---- Requests ----
 
-  private onRequest(request: PlaceRequest, now: number): void {
+  private onRequest(request: CheckoutRequest, now: number): void {
     const refusal = this.refusalOf(request, now);
-    if (refusal) return request.settle(err(refusal));
+    if (refusal) return request.resolve(err(refusal));
     this.queue.add(request);
-    this.askArrival(request);
+    this.pollPositions(request);
     this.dispatch();
   }
 
-  /** What cannot be met is refused at once, with a time to come back. */
-  private refusalOf(request: PlaceRequest, now: number): NotRun | undefined {
-    const parallel = Math.max(1, this.targets.capacity);
+  /** Admission control: requests that cannot be served in time. */
+  private refusalOf(
+    request: CheckoutRequest,
+    now: number,
+  ): CheckoutRefusal | undefined {
+    const quota = Math.max(1, this.targets.connectionQuota);
     const expectedMs =
-      (this.queue.countAhead(request) * this.serviceTimeMs) / parallel;
-    const retryAfterMs = Math.ceil(expectedMs) + DEFAULT_RETRY_MS;
+      (this.queue.countAhead(request) * this.meanServiceMs) / quota;
+    const retryAfterMs = Math.ceil(expectedMs) + MIN_RETRY_AFTER_MS;
     if (this.queue.size >= this.settings.queue) {
       return {reason: 'queue full', retryAfterMs};
     }
@@ -285,26 +289,26 @@
     return {reason: 'deadline cannot be met', retryAfterMs};
   }
 
-  private askArrival(request: PlaceRequest): void {
+  private pollPositions(request: CheckoutRequest): void {
     const {record} = this;
-    if (request.required || request.needs === 'write' || !record) return;
-    if (this.requiredOf(request)) return;
-    this.arrivalQuestion.want();
+    if (request.minPosition || request.access === 'write' || !record) return;
+    if (this.minPositionOf(request)) return;
+    this.positionPoll.request();
   }
 
   private dispatch(): void {
     const {record} = this;
     if (!record || this.queue.size === 0) return;
-    const now = this.around.clock.now();
-    const primaryUsable = this.isPrimaryUsable(record, now);
-    const {targets, lineage} = this;
-    const view = new DispatchView(targets, record, lineage, primaryUsable);
+    const now = this.dependencies.clock.now();
+    const hasPrimary = this.isPrimaryUsable(record, now);
+    const {targets, termHistory} = this;
+    const cache = new CandidateCache(targets, record, termHistory, hasPrimary);
     this.queue.offer(now, request => {
-      if (!this.targets.hasFree) return 'stop';
-      const needsPrimary = request.needs === 'write' || request.ageMs === 0;
-      const candidates = needsPrimary ? view.primary : view.all;
-      if (!this.place(request, record, candidates, now)) return 'later';
-      view.forget();
+      if (!this.targets.hasFreeConnection) return 'stop';
+      const needsPrimary = request.access === 'write' || request.maxAgeMs === 0;
+      const candidates = needsPrimary ? cache.primary : cache.all;
+      if (!this.checkOut(request, record, candidates, now)) return 'later';
+      cache.invalidate();
       return 'taken';
     });
   }
@@ -314,86 +318,86 @@
     return primary !== undefined && this.lease.isHeld(record.term, now);
   }
 
-  private place(
-    request: PlaceRequest,
+  private checkOut(
+    request: CheckoutRequest,
     record: ServiceRecord,
     candidates: readonly ReadCandidate[],
     now: number,
   ): boolean {
-    const required = this.requiredOf(request);
-    const decision = this.decide(request, required, candidates, now);
+    const minPosition = this.minPositionOf(request);
+    const decision = this.decide(request, minPosition, candidates, now);
     if (decision.kind === 'wait') return false;
     const {instance, reason} = decision;
     const connection = this.targets.poolOf(instance)?.checkout();
     if (!connection) return false;
-    const chosen = candidates.find(other => other.instance === instance)!;
-    if (chosen.isPrimary) this.writesRunning++;
-    const grant: Grant = {
+    const chosen = candidates.find(member => member.instance === instance)!;
+    if (chosen.isPrimary) this.primaryInUseCount++;
+    const checkout: Checkout = {
       connection,
       instance,
-      onPrimary: chosen.isPrimary,
-      reason: request.needs === 'write' ? 'primary for a write' : reason,
-      required: required ?? {term: 0, offset: 0},
+      isOnPrimary: chosen.isPrimary,
+      reason: request.access === 'write' ? 'primary for a write' : reason,
+      minPosition: minPosition ?? {term: 0, offset: 0},
       term: record.term,
       ageMs: chosen.isPrimary ? 0 : chosen.ageMs,
     };
-    request.settle(ok(grant));
+    request.resolve(ok(checkout));
     return true;
   }
 
   private decide(
-    request: PlaceRequest,
-    required: Position | undefined,
+    request: CheckoutRequest,
+    minPosition: Position | undefined,
     candidates: readonly ReadCandidate[],
     now: number,
   ): RouteDecision {
-    const isWrite = request.needs === 'write';
-    const offset = required && this.lineage.requiredOffset(required);
+    const isWrite = request.access === 'write';
+    const offset = minPosition && this.termHistory.requiredOffset(minPosition);
     return routeRead(
       {
-        maxAgeMs: isWrite ? 0 : request.ageMs,
+        maxAgeMs: isWrite ? 0 : request.maxAgeMs,
         minOffset: offset,
         allowsOlder: request.olderWithNotice,
-        waitedMs: now - request.since,
+        waitedMs: now - request.requestedAt,
       },
       candidates,
     );
   }
 
-  private requiredOf(request: PlaceRequest): Position | undefined {
-    if (request.required) return request.required;
+  private minPositionOf(request: CheckoutRequest): Position | undefined {
+    if (request.minPosition) return request.minPosition;
     const {members, confirmations} = this.settings;
-    const needed = members - confirmations;
-    return this.arrivals.since(request.arrivedAt, needed);
+    const readQuorum = members - confirmations;
+    return this.initialPositions.minPosition(request.connectedAt, readQuorum);
   }
 
   private onRelease(release: Release, now: number): void {
-    const {connection, instance, onPrimary, clean, answered} = release;
-    if (onPrimary) this.writesRunning--;
-    this.targets.poolOf(instance)?.release(connection, clean);
+    const {connection, instance, isOnPrimary, isClean, hasReplied} = release;
+    if (isOnPrimary) this.primaryInUseCount--;
+    this.targets.poolOf(instance)?.release(connection, isClean);
     const {ejection} = this.targets;
-    if (answered) {
-      const took = now - release.startedAt;
-      this.serviceTimeMs += (took - this.serviceTimeMs) * SERVICE_TIME_WEIGHT;
+    if (hasReplied) {
+      const tookMs = now - release.startedAt;
+      this.meanServiceMs += (tookMs - this.meanServiceMs) * SERVICE_TIME_WEIGHT;
       ejection.onSuccess(instance, now);
     } else {
-      ejection.onFailure(instance, this.usableReplicas(), now);
+      ejection.onFailure(instance, this.usableReplicaCount(), now);
     }
-    this.giveUpIfDone(now);
+    this.returnLeaseIfDone(now);
   }
 
-  private usableReplicas(): number {
+  private usableReplicaCount(): number {
     const {record} = this;
     if (!record) return 0;
     return this.targets
-      .candidates(record, this.lineage, false)
+      .candidates(record, this.termHistory, false)
       .filter(({isUsable}) => isUsable).length;
   }
 
-  private noteFree(): void {
-    if (this.freeQueued || this.queue.size === 0) return;
-    this.freeQueued = true;
-    this.post({kind: 'free'});
+  private queueDispatch(): void {
+    if (this.isDispatchQueued || this.queue.size === 0) return;
+    this.isDispatchQueued = true;
+    this.post({kind: 'dispatch'});
   }
 
   // ---- Targets ----
@@ -401,30 +405,30 @@
   private onTarget(key: TargetKey, status: TargetStatus | undefined): void {
     if (!status) {
       this.commits.onClosed(key.instance);
-      this.arrivals.onClosed(key.instance);
-      this.lookAfterGrace();
+      this.initialPositions.onClosed(key.instance);
+      this.checkAfterGrace();
       return;
     }
-    const target = this.around.directory.get(key);
+    const target = this.dependencies.directory.get(key);
     if (target) this.targets.onTarget(target);
     const isReplica = status.role === Role.ROLE_REPLICA;
     if (isReplica) this.commits.onStatus(key.instance, status);
-    this.noteFree();
+    this.queueDispatch();
   }
 
-  /** A loss is noticed when its grace ends, not with the tick after. */
-  private lookAfterGrace(): void {
+  /** Detects a loss when the grace ends instead of at the next tick. */
+  private checkAfterGrace(): void {
     after(this.signal, CLOSED_GRACE_MS + 1, () => this.post({kind: 'tick'}));
   }
 
   private onSample(key: TargetKey, sample: PositionSample, now: number): void {
     const {status, askedAt} = sample;
     if (status.matchedTerm > 0) {
-      this.arrivals.onMember(key.instance, askedAt, status);
+      this.initialPositions.onMember(key.instance, askedAt, status);
     }
     if (this.isLeasedPrimary(key, status, askedAt)) {
-      this.arrivals.onPrimary(askedAt, status);
-      this.arrivalQuestion.onAnswer(askedAt);
+      this.initialPositions.onPrimary(askedAt, status);
+      this.positionPoll.onReply(askedAt);
       this.history.onSample(askedAt, status.appliedOffset);
     } else {
       const age = this.history.ageOf(status.appliedOffset, now);
@@ -434,38 +438,38 @@
   }
 
   /**
-   * Guard against taking a replaced primary's word: its samples count only
-   * where this proxy's lease on its term held when it was asked, since no
-   * later term can have acknowledged anything before that lease ended.
+   * Guard: a replaced primary's position is not trusted. No later term can
+   * acknowledge a write while a lease on this one is held, so a sample counts
+   * only if it was requested under the lease.
    */
   private isLeasedPrimary(
     key: TargetKey,
     status: TargetStatus,
-    askedAt: number,
+    requestedAt: number,
   ): boolean {
     const {record} = this;
     if (!record || record.phase !== Phase.PHASE_STEADY) return false;
     if (key.instance !== record.primary) return false;
-    const leads = status.role === Role.ROLE_PRIMARY;
-    if (!leads || status.term !== record.term) return false;
-    return this.lease.isHeld(record.term, askedAt);
+    const isPrimary = status.role === Role.ROLE_PRIMARY;
+    if (!isPrimary || status.term !== record.term) return false;
+    return this.lease.isHeld(record.term, requestedAt);
   }
 
   // ---- Control ----
 
   private onRecord(record: ServiceRecord, now: number): void {
-    const known = this.record;
-    if (known && known.revision > record.revision) return;
-    const isNewTerm = known !== undefined && record.term > known.term;
+    const previous = this.record;
+    if (previous && previous.revision > record.revision) return;
+    const isNewTerm = previous !== undefined && record.term > previous.term;
     this.record = record;
-    this.lineage = lineageOf(record);
+    this.termHistory = termHistoryOf(record);
     if (isNewTerm) {
-      this.changeSeenAt = now;
+      this.termChangedAt = now;
       this.history.onWritesResumed();
     }
-    if (record.phase === Phase.PHASE_STEADY) this.onSteady(record, known);
-    this.giveUpIfDone(now);
-    // Until the lease is given up, commits of its term may still be confirmed.
+    if (record.phase === Phase.PHASE_STEADY) this.onSteady(record, previous);
+    this.returnLeaseIfDone(now);
+    // Commits of the old term may be confirmed until the lease is returned.
     if (this.lease.term >= record.term) {
       this.commits.onServiceRecord(record, now);
     }
@@ -474,41 +478,41 @@
 
   private onSteady(
     record: ServiceRecord,
-    known: ServiceRecord | undefined,
+    previous: ServiceRecord | undefined,
   ): void {
     this.lease.returnBelow(record.term);
     const primary = instanceId(record.primary);
     const {lastPrimary} = this;
     if (lastPrimary && lastPrimary !== primary) {
-      this.targets.abandon(lastPrimary);
+      this.targets.closeInUse(lastPrimary);
     }
     this.lastPrimary = primary;
     const start = record.termStarts.at(-1);
-    const begun = known?.phase !== Phase.PHASE_STEADY;
-    if (start && begun) this.history.onTermStart(start.baseOffset);
+    const isNew = previous?.phase !== Phase.PHASE_STEADY;
+    if (start && isNew) this.history.onTermStart(start.baseOffset);
   }
 
-  /** Hands the lease back, after running writes where there is time. */
-  private giveUpIfDone(now: number): void {
+  /** Returns the lease; a planned change first waits for transactions. */
+  private returnLeaseIfDone(now: number): void {
     const {record} = this;
     if (record?.phase !== Phase.PHASE_CHANGING) return;
     if (this.lease.term >= record.term) return;
-    const busy = this.writesRunning > 0 || this.commits.pendingCount > 0;
-    const patient = now - this.changeSeenAt < PLANNED_PATIENCE_MS;
-    if (record.planned && busy && patient) return;
+    const isBusy = this.primaryInUseCount > 0 || this.commits.pendingCount > 0;
+    const mayWait = now - this.termChangedAt < PLANNED_CHANGE_WAIT_MS;
+    if (record.planned && isBusy && mayWait) return;
     this.lease.returnBelow(record.term);
     this.commits.onServiceRecord(record, now);
-    // Whoever still waits for the old primary gets the final answer now.
-    if (this.lastPrimary) this.targets.abandon(this.lastPrimary);
-    this.around.onDidHaveNews();
+    // Requests still running on the old primary fail now.
+    if (this.lastPrimary) this.targets.closeInUse(this.lastPrimary);
+    this.dependencies.onDidHaveReport();
   }
 
-  private onLease(term: number, askedAt: number, leaseMs: number): void {
+  private onLease(term: number, requestedAt: number, leaseMs: number): void {
     const {record} = this;
     if (record?.term !== term || record.phase !== Phase.PHASE_STEADY) return;
-    this.lease.extend(term, askedAt, leaseMs);
+    this.lease.extend(term, requestedAt, leaseMs);
     this.history.onWritesResumed();
-    this.commits.onLeaseExtended(this.around.clock.now());
+    this.commits.onLeaseExtended(this.dependencies.clock.now());
     this.dispatch();
   }
 
@@ -518,44 +522,40 @@
     this.commits.setRequiredConfirmations(settings.confirmations);
   }
 
-  /**
-   * Control hears of a loss when it is noticed, not with the next question for
-   * a lease: that would add its whole interval to the failover gap.
-   */
-  private noteLoss(): void {
-    const suspicion = this.suspicion();
-    const {silenceMs} = this.around.system;
+  /** Reports a loss ahead of the next renewal, to shorten the failover. */
+  private reportLoss(): void {
+    const report = this.failureReport();
+    const {silenceMs} = this.dependencies.system;
     const isLost =
-      suspicion !== undefined &&
-      (suspicion.refused || suspicion.silentMs >= silenceMs);
-    const isNew = isLost && suspicion.term !== this.reportedLossTerm;
-    if (isNew) this.around.onDidHaveNews();
-    this.reportedLossTerm = isLost ? suspicion.term : 0;
+      report !== undefined && (report.refused || report.silentMs >= silenceMs);
+    const isNew = isLost && report.term !== this.reportedLossTerm;
+    if (isNew) this.dependencies.onDidHaveReport();
+    this.reportedLossTerm = isLost ? report.term : 0;
   }
 
   private onTick(now: number): void {
-    this.noteLoss();
-    this.arrivalQuestion.onTick(now);
-    const {directory, service} = this.around;
-    // Targets that announced themselves before the service was offered here.
+    this.reportLoss();
+    this.positionPoll.onTick(now);
+    const {directory, service} = this.dependencies;
+    // Includes targets announced before the service was started here.
     for (const target of directory.targetsOf(service)) {
       this.targets.onTarget(target);
     }
     this.targets.maintain();
     this.commits.onTick(now);
-    this.giveUpIfDone(now);
+    this.returnLeaseIfDone(now);
     for (const request of this.queue.expire(now)) {
       const hasPrimary =
         this.record !== undefined && this.isPrimaryUsable(this.record, now);
       const reason = hasPrimary ? 'deadline passed' : 'no primary';
-      const retryAfterMs = DEFAULT_RETRY_MS;
-      request.settle(err({reason, retryAfterMs}));
+      const retryAfterMs = MIN_RETRY_AFTER_MS;
+      request.resolve(err({reason, retryAfterMs}));
     }
     this.dispatch();
   }
 }
 
-/** Between two terms the log in force is still that of the last one. */
-function lineageOf({termStarts}: ServiceRecord): TermHistory {
+/** Between two terms, the history of the last one. */
+function termHistoryOf({termStarts}: ServiceRecord): TermHistory {
   return new TermHistory(termStarts.at(-1)?.term ?? 0, termStarts);
 }
--- a/src/proxy/node/service_targets.ts
+++ b/src/proxy/node/service_targets.ts
@@ -28,35 +28,35 @@
 import {Role} from '../../schema/generated/announcement';
 import {Phase, type ServiceRecord} from '../../schema/generated/control';
 
-const LEAST_USABLE = 1;
+const MIN_USABLE_COUNT = 1;
 const LAG_WEIGHT = 0.1;
 
-/** What the targets of a service are judged by. */
-export interface TargetSurroundings {
+/** Dependencies and sources of the data by which targets are rated. */
+export interface ServiceTargetsDependencies {
   readonly service: ServiceName;
   readonly site: SiteId;
   readonly directory: TargetDirectory;
   readonly history: OffsetHistory;
   readonly system: SystemSettings;
   readonly clock: Clock;
-  readonly distance: SiteLatency;
-  onDidFree(): void;
+  readonly siteLatency: SiteLatency;
+  onDidFreeConnection(): void;
 }
 
 interface PooledTarget {
   readonly pool: TargetPool;
   readonly controller: AbortController;
-  /** Smoothed time from the primary's writing to this one's applying. */
+  /** Moving average of the time by which applying lags the primary. */
   lagMs: number;
 }
 
-/** The targets of one service as this proxy sees them, with their pools. */
+/** The targets of one service as this proxy observes them, and their pools. */
 export class ServiceTargets {
-  readonly ejection = new OutlierEjection(LEAST_USABLE);
+  readonly ejection = new OutlierEjection(MIN_USABLE_COUNT);
   private readonly targets = new Map<InstanceId, PooledTarget>();
 
   constructor(
-    private readonly around: TargetSurroundings,
+    private readonly dependencies: ServiceTargetsDependencies,
     private settings: ServiceSettings,
     private readonly signal: AbortSignal,
   ) {}
@@ -64,35 +64,35 @@
   setSettings(settings: ServiceSettings): void {
     this.settings = settings;
     for (const {pool} of this.targets.values()) {
-      pool.setMaxConnections(this.capacity);
+      pool.setMaxConnections(this.connectionQuota);
     }
   }
 
-  /** How many connections to one target this proxy may have. */
-  get capacity(): number {
+  /** How many connections this proxy may open to one target. */
+  get connectionQuota(): number {
     const {connections, proxies} = this.settings;
     return Math.max(1, Math.floor(connections / proxies));
   }
 
-  /** A target said something: keeps a pool for this run of it. */
+  /** Replaces the pool of a target if its process or address changed. */
   onTarget(target: TargetObservation): void {
     const {instance} = target.key;
     const {incarnation, address} = target.status;
-    const known = this.targets.get(instance);
-    const same =
-      known?.pool.incarnation === incarnation &&
-      known.pool.login.address === address;
-    if (same) return;
-    known?.controller.abort();
+    const current = this.targets.get(instance);
+    const isSameProcess =
+      current?.pool.incarnation === incarnation &&
+      current.pool.login.address === address;
+    if (isSameProcess) return;
+    current?.controller.abort();
     const controller = childController(this.signal);
-    const {service, clock} = this.around;
+    const {service, clock} = this.dependencies;
     const pool = new TargetPool(
       {address, user: 'bulrushstage', database: service},
       incarnation,
-      this.capacity,
+      this.connectionQuota,
       clock,
       {
-        onDidRelease: () => this.around.onDidFree(),
+        onDidRelease: () => this.dependencies.onDidFreeConnection(),
         onDidFailToOpen: () => {},
       },
       controller.signal,
@@ -100,7 +100,7 @@
     this.targets.set(instance, {pool, controller, lagMs: 0});
   }
 
-  /** Notes how far behind a replica was seen to be. */
+  /** Records the staleness of a replica. */
   onAge(instance: InstanceId, ageMs: number): void {
     const target = this.targets.get(instance);
     if (!target || ageMs === Infinity) return;
@@ -111,13 +111,13 @@
     return this.targets.get(instance)?.pool;
   }
 
-  /** Gives up what still runs on a target that leads no more. */
-  abandon(instance: InstanceId): void {
+  /** Closes the checked-out connections to a replaced primary. */
+  closeInUse(instance: InstanceId): void {
     this.targets.get(instance)?.pool.destroyInUse();
   }
 
-  /** Some connection is free to take a transaction. */
-  get hasFree(): boolean {
+  /** Whether any target has an idle connection. */
+  get hasFreeConnection(): boolean {
     return [...this.targets.values()].some(({pool}) => pool.idleCount > 0);
   }
 
@@ -125,14 +125,14 @@
     for (const {pool} of this.targets.values()) pool.maintain();
   }
 
-  /** All members as candidates for a read. */
+  /** All members as candidates for a read, usable or not. */
   candidates(
     record: ServiceRecord,
-    lineage: TermHistory,
-    primaryUsable: boolean,
+    termHistory: TermHistory,
+    isPrimaryUsable: boolean,
   ): ReadCandidate[] {
-    const {directory, service} = this.around;
-    const now = this.around.clock.now();
+    const {directory, service} = this.dependencies;
+    const now = this.dependencies.clock.now();
     const draining = new Set(
       record.members
         .filter(member => member.draining)
@@ -146,36 +146,36 @@
         target,
         pooled,
         record,
-        lineage,
-        primaryUsable,
+        termHistory,
+        isPrimaryUsable,
         isDrained,
         now,
       );
     });
   }
 
-  /** The primary alone, where nothing else will do. */
-  primaryCandidate(record: ServiceRecord, usable: boolean): ReadCandidate[] {
+  /** The primary as the only candidate; empty if it is not usable. */
+  primaryCandidate(record: ServiceRecord, isUsable: boolean): ReadCandidate[] {
     const instance = instanceId(record.primary);
     const pool = this.targets.get(instance)?.pool;
-    if (!pool || !usable) return [];
+    if (!pool || !isUsable) return [];
     const isPrimary = true;
-    const nearness = {ageMs: 0, latencyMs: 0, lagMs: 0, appliedOffset: 0};
+    const unused = {ageMs: 0, latencyMs: 0, lagMs: 0, appliedOffset: 0};
     const load = {freeCount: pool.idleCount, runningCount: pool.inUseCount};
-    return [{instance, isPrimary, isUsable: usable, ...nearness, ...load}];
+    return [{instance, isPrimary, isUsable, ...unused, ...load}];
   }
 
-  /** The primary in force, if it says so itself and can be reached. */
+  /** The current primary, if it is connected and reports the same role. */
   primary(record: ServiceRecord): TargetObservation | undefined {
     if (record.phase !== Phase.PHASE_STEADY) return undefined;
-    const {directory, service, clock} = this.around;
+    const {directory, service, clock} = this.dependencies;
     const target = directory.targetsOf(service).find(({key}) => {
       return key.instance === record.primary;
     });
     if (!target || !isConnected(target, clock.now())) return undefined;
     const {role, term, incarnation} = target.status;
-    const leads = role === Role.ROLE_PRIMARY && term === record.term;
-    return leads && incarnation === record.primaryIncarnation
+    const isPrimary = role === Role.ROLE_PRIMARY && term === record.term;
+    return isPrimary && incarnation === record.primaryIncarnation
       ? target
       : undefined;
   }
@@ -184,33 +184,36 @@
     target: TargetObservation,
     {pool, lagMs}: PooledTarget,
     record: ServiceRecord,
-    lineage: TermHistory,
-    primaryUsable: boolean,
+    termHistory: TermHistory,
+    isPrimaryUsable: boolean,
     isDrained: boolean,
     now: number,
   ): ReadCandidate {
     const {status, key} = target;
-    const {history, distance, site, system} = this.around;
+    const {history, siteLatency, site, system} = this.dependencies;
     const isPrimary = key.instance === record.primary;
-    const answers =
+    const isResponsive =
       isConnected(target, now) && silenceMsOf(target, now) < system.silenceMs;
-    const welcome = !isDrained && !status.leaving;
-    const healthy = !this.ejection.isEjected(key.instance, now);
-    // Past the common part a member may show writes that were given up.
-    const common = lineage.commonOffset(status.logTerm);
-    const isPrefix = status.appliedOffset <= common;
-    const limit = this.ejection.concurrencyLimitOf(key.instance, now);
+    const acceptsWork = !isDrained && !status.leaving;
+    const isHealthy = !this.ejection.isEjected(key.instance, now);
+    // Beyond the common offset a member may hold writes that were undone.
+    const commonOffset = termHistory.commonOffset(status.logTerm);
+    const isPrefix = status.appliedOffset <= commonOffset;
+    const concurrencyLimit = this.ejection.concurrencyLimitOf(
+      key.instance,
+      now,
+    );
     return {
       instance: key.instance,
       isPrimary,
       isUsable: isPrimary
-        ? primaryUsable
-        : answers && welcome && healthy && isPrefix,
+        ? isPrimaryUsable
+        : isResponsive && acceptsWork && isHealthy && isPrefix,
       appliedOffset: status.appliedOffset,
       ageMs: history.ageOf(status.appliedOffset, now),
-      freeCount: pool.inUseCount < limit ? pool.idleCount : 0,
+      freeCount: pool.inUseCount < concurrencyLimit ? pool.idleCount : 0,
       runningCount: pool.inUseCount,
-      latencyMs: distance(site, siteId(status.site)),
+      latencyMs: siteLatency(site, siteId(status.site)),
       lagMs,
     };
   }
--- a/src/proxy/node/session_context.ts
+++ b/src/proxy/node/session_context.ts
@@ -4,60 +4,61 @@
 import type {SessionState} from '../../services/session/common/session_state';
 import type {ClassSettings} from '../../services/settings/common/settings';
 import type {FrameConnection} from '../../services/wire/node/frame_connection';
-import type {NamedStatements} from '../common/batch';
-import type {PlaceRequest} from './checkout_request';
+import type {PreparedStatements} from '../common/batch';
+import type {CheckoutRequest} from './checkout_request';
 import type {SessionMeter} from './request_meter';
 import type {ServiceRouter} from './service_router';
 
-/** What the parts of one caller's session share. */
+/** State and dependencies that the parts of one session share. */
 export interface SessionContext {
   readonly caller: CallerName;
   readonly service: ServiceName;
   readonly connection: FrameConnection;
   readonly state: SessionState;
-  readonly named: NamedStatements;
+  readonly preparedStatements: PreparedStatements;
   readonly router: ServiceRouter;
   readonly classifier: Classifier;
   readonly clock: Clock;
   readonly meter: SessionMeter;
-  /** When the session arrived, on the monotonic clock. */
-  readonly arrivedAt: number;
+  /** When the session connected, on the monotonic clock. */
+  readonly connectedAt: number;
   classes(): ReadonlyMap<ClassName, ClassSettings>;
 }
 
-const BUILT_IN_CLASS: ClassSettings = {
+/** For classes without settings. */
+const DEFAULT_CLASS: ClassSettings = {
   ageMs: 0,
   priority: 5,
   deadlineMs: 5_000,
   olderWithNotice: false,
 };
 
-/** The settings of the session's class. */
+/** Settings of the session's class, or defaults if it has none. */
 export function classSettingsOf(context: SessionContext): ClassSettings {
   const {requestClass} = context.state;
-  return context.classes().get(requestClass) ?? BUILT_IN_CLASS;
+  return context.classes().get(requestClass) ?? DEFAULT_CLASS;
 }
 
-/** A request for a place on a target, without its answer. */
+/** A checkout request of a session, without its callback. */
 export function describeRequest(
   context: SessionContext,
-  needs: 'read' | 'write',
-): Omit<PlaceRequest, 'settle'> {
+  access: 'read' | 'write',
+): Omit<CheckoutRequest, 'resolve'> {
   const {ageMs, priority, deadlineMs, olderWithNotice} =
     classSettingsOf(context);
-  const since = context.clock.now();
+  const requestedAt = context.clock.now();
   return {
     caller: context.caller,
     service: context.service,
     requestClass: context.state.requestClass,
     priority,
-    deadline: since + deadlineMs,
-    dueAt: since + deadlineMs,
-    needs,
-    ageMs,
+    deadline: requestedAt + deadlineMs,
+    dueAt: requestedAt + deadlineMs,
+    access,
+    maxAgeMs: ageMs,
     olderWithNotice,
-    required: context.state.requiredPosition,
-    arrivedAt: context.arrivedAt,
-    since,
+    minPosition: context.state.requiredPosition,
+    connectedAt: context.connectedAt,
+    requestedAt,
   };
 }
--- a/src/proxy/node/status_endpoint.ts
+++ b/src/proxy/node/status_endpoint.ts
@@ -5,8 +5,8 @@
 
 const QUANTILES = [50, 90, 99, 99.9];
 
-/** What the endpoint shows. */
-export interface StatusSurroundings {
+/** What the endpoint reports. */
+export interface StatusDependencies {
   readonly instance: string;
   readonly site: string;
   readonly services: ProxyServices;
@@ -16,7 +16,7 @@
   sessions(): number;
 }
 
-/** The status of a proxy over HTTP: metrics text, histograms, status. */
+/** Serves Prometheus metrics, histograms and the status as JSON over HTTP. */
 export class StatusEndpoint {
   private readonly pages: Readonly<
     Record<string, (response: ServerResponse) => void>
@@ -26,7 +26,7 @@
     '/status': response => sendJson(response, this.status()),
   };
 
-  constructor(private readonly around: StatusSurroundings) {}
+  constructor(private readonly dependencies: StatusDependencies) {}
 
   listen(port: number, host: string, signal: AbortSignal): Promise<void> {
     const server = createServer((request, response) => {
@@ -46,25 +46,25 @@
   }
 
   private status() {
-    const {instance, site, services, sessions} = this.around;
+    const {instance, site, services, sessions} = this.dependencies;
     return {
       instance,
       site,
-      settingsVersion: this.around.settingsVersion(),
-      attached: this.around.isAttached(),
+      settingsVersion: this.dependencies.settingsVersion(),
+      attached: this.dependencies.isAttached(),
       sessions: sessions(),
-      outcomes: Object.fromEntries(this.around.meter.counts()),
+      outcomes: Object.fromEntries(this.dependencies.meter.countsByOutcome()),
       services: [...services.all()].map(([name, {router}]) => ({
         name,
         term: router.serviceRecord?.term ?? 0,
         primary: router.serviceRecord?.primary ?? '',
-        queued: router.queued,
+        queued: router.queuedCount,
       })),
     };
   }
 
   private histograms() {
-    return this.around.meter.all().flatMap(({name, histograms}) => {
+    return this.dependencies.meter.allSeries().flatMap(({name, histograms}) => {
       return PHASES.map(phase => ({
         ...name,
         phase,
@@ -74,25 +74,25 @@
   }
 
   private metrics(response: ServerResponse): void {
-    const {meter, sessions, services} = this.around;
+    const {meter, sessions, services} = this.dependencies;
     const lines = [
       '# TYPE bulrushstage_sessions gauge',
       `bulrushstage_sessions ${sessions()}`,
       '# TYPE bulrushstage_settings_version gauge',
-      `bulrushstage_settings_version ${this.around.settingsVersion()}`,
+      `bulrushstage_settings_version ${this.dependencies.settingsVersion()}`,
       '# TYPE bulrushstage_control_attached gauge',
-      `bulrushstage_control_attached ${Number(this.around.isAttached())}`,
+      `bulrushstage_control_attached ${Number(this.dependencies.isAttached())}`,
       '# TYPE bulrushstage_service_term gauge',
       ...[...services.all()].map(([service, {router}]) => {
         const term = router.serviceRecord?.term ?? 0;
         return `bulrushstage_service_term{${label('service', service)}} ${term}`;
       }),
       '# TYPE bulrushstage_requests_total counter',
-      ...[...meter.counts()].map(([outcome, count]) => {
+      ...[...meter.countsByOutcome()].map(([outcome, count]) => {
         return `bulrushstage_requests_total{${label('outcome', outcome)}} ${count}`;
       }),
       '# TYPE bulrushstage_request_seconds summary',
-      ...meter.all().flatMap(seriesLines),
+      ...meter.allSeries().flatMap(seriesLines),
     ];
     response.setHeader('content-type', 'text/plain; version=0.0.4');
     response.end(`${lines.join('\n')}\n`);
