--- a/src/services/fleet_control/test/node/limit_coordinator.test.ts
+++ b/src/services/fleet_control/test/node/limit_coordinator.test.ts
@@ -89,7 +89,8 @@
   expect(assigned).toHaveLength(2);
   const lines = logged.lines.filter(line => line.startsWith('Names a counter'));
   expect(lines).toHaveLength(2);
-  expect(lines.join()).toContain('others');
+  expect(lines[0]).toContain('"reason":"a has 0 counters"');
+  expect(lines[1]).toContain('"reason":"a has 1 counters"');
   const {shares} = coordinator;
   let sum = 0;
   for (const instance of assigned) {
