--- a/test/process/control.test.ts
+++ b/test/process/control.test.ts
@@ -213,7 +213,9 @@
     writeFileSync(join(control!.data, 'snapshot'), 'rubbish');
     control!.start();
     expect(await control!.exited()).toBe(74);
-    expect(control!.log).toContain('data folder damaged: snapshot file');
+    expect(control!.log).toContain(
+      'data folder damaged: the snapshot file has a wrong checksum',
+    );
   });
 });
 
