--- a/scripts/generate.mjs
+++ b/scripts/generate.mjs
@@ -1,4 +1,5 @@
-// Generates code and reference pages from src/schema; --check only compares.
+// Generates code and the settings page from src/schema. With --check it writes
+// nothing and fails if a generated file is out of date.
 import {execFileSync} from 'node:child_process';
 import {
   mkdtempSync,
@@ -12,20 +13,20 @@
 import {join} from 'node:path';
 import {renderSettingsModule, renderSettingsPage} from './render_settings.mjs';
 
-const check = process.argv.includes('--check');
-const SCHEMA = JSON.parse(readFileSync('src/schema/settings.json', 'utf8'));
+const isCheck = process.argv.includes('--check');
+const schema = JSON.parse(readFileSync('src/schema/settings.json', 'utf8'));
 
-const work = mkdtempSync(join(tmpdir(), 'generate-'));
+const workFolder = mkdtempSync(join(tmpdir(), 'generate-'));
 const outputs = new Map();
 
 try {
-  mkdirSync(join(work, 'out'));
+  mkdirSync(join(workFolder, 'out'));
   const template = {
     version: 'v2',
     plugins: [
       {
         local: ['node_modules/.bin/protoc-gen-ts_proto'],
-        out: join(work, 'out'),
+        out: join(workFolder, 'out'),
         opt: [
           'outputServices=grpc-js',
           'esModuleInterop=true',
@@ -47,19 +48,19 @@
     ['generate', 'src/schema', '--template', JSON.stringify(template)],
     {stdio: 'inherit'},
   );
-  for (const name of readdirSync(join(work, 'out'))) {
+  for (const name of readdirSync(join(workFolder, 'out'))) {
     outputs.set(
       join('src/schema/generated', name),
-      readFileSync(join(work, 'out', name), 'utf8'),
+      readFileSync(join(workFolder, 'out', name), 'utf8'),
     );
   }
 } finally {
-  rmSync(work, {recursive: true});
+  rmSync(workFolder, {recursive: true});
 }
-outputs.set('src/schema/generated/settings.ts', renderSettingsModule(SCHEMA));
-outputs.set('docs/SETTINGS.md', renderSettingsPage(SCHEMA));
+outputs.set('src/schema/generated/settings.ts', renderSettingsModule(schema));
+outputs.set('docs/SETTINGS.md', renderSettingsPage(schema));
 
-const read = path => {
+const readExisting = path => {
   try {
     return readFileSync(path, 'utf8');
   } catch {
@@ -67,14 +68,14 @@
   }
 };
 
-let stale = 0;
+let staleCount = 0;
 for (const [path, text] of outputs) {
-  if (read(path) === text) continue;
-  stale++;
-  if (check) console.error(`${path} is not up to date: run npm run generate`);
+  if (readExisting(path) === text) continue;
+  staleCount++;
+  if (isCheck) console.error(`${path} is out of date; run npm run generate`);
   else {
     writeFileSync(path, text);
-    console.log(`wrote ${path}`);
+    console.log(`Wrote ${path}.`);
   }
 }
-process.exitCode = check && stale > 0 ? 1 : 0;
+process.exitCode = isCheck && staleCount > 0 ? 1 : 0;
--- a/scripts/render_settings.mjs
+++ b/scripts/render_settings.mjs
@@ -1,6 +1,6 @@
 // Renders the settings schema as a TypeScript module and a reference page.
 
-const NAMES = {
+const SECTION_TYPES = {
   system: 'SystemSettings',
   service: 'ServiceSettings',
   class: 'ClassSettings',
@@ -8,7 +8,7 @@
   distance: 'DistanceSettings',
 };
 
-const TYPES = {
+const KEY_TYPES = {
   integer: 'number',
   number: 'number',
   text: 'string',
@@ -16,11 +16,12 @@
   list: 'string[]',
 };
 
-const camel = name => name.replace(/_[a-z]/g, found => found[1].toUpperCase());
+const toCamelCase = name =>
+  name.replace(/_[a-z]/g, match => match[1].toUpperCase());
 
 const schemaOfKey = key => ({
   key: key.key,
-  field: camel(key.key),
+  field: toCamelCase(key.key),
   type: key.type,
   unit: key.unit,
   minimum: key.minimum,
@@ -29,12 +30,12 @@
   defaultValue: key.default,
 });
 
-/** The module that src/services/settings reads its schema from. */
+/** Renders the module that src/services/settings takes its schema from. */
 export function renderSettingsModule(schema) {
   const lines = [
     '// Generated from src/schema/settings.json by npm run generate.',
     '',
-    '/** What the schema says of one key. */',
+    '/** Schema of a key of a section. */',
     'export interface KeySchema {',
     '  readonly key: string;',
     '  readonly field: string;',
@@ -46,7 +47,7 @@
     '  readonly defaultValue?: number | string | boolean | string[];',
     '}',
     '',
-    '/** What the schema says of one kind of section. */',
+    '/** Schema of a kind of section. */',
     'export interface SectionSchema {',
     '  readonly name: string;',
     '  readonly repeated: boolean;',
@@ -56,10 +57,10 @@
   ];
   for (const section of schema.sections) {
     lines.push(`/** ${section.title}. */`);
-    lines.push(`export interface ${NAMES[section.name]} {`);
+    lines.push(`export interface ${SECTION_TYPES[section.name]} {`);
     for (const key of section.keys) {
       lines.push(`  /** ${key.doc} */`);
-      lines.push(`  ${camel(key.key)}: ${TYPES[key.type]};`);
+      lines.push(`  ${toCamelCase(key.key)}: ${KEY_TYPES[key.type]};`);
     }
     lines.push('}', '');
   }
@@ -68,7 +69,7 @@
     repeated: section.repeated,
     keys: section.keys.map(schemaOfKey),
   }));
-  lines.push('/** Every section that a settings file may have. */');
+  lines.push('/** All kinds of sections that a settings file may have. */');
   lines.push(
     `export const SECTIONS: readonly SectionSchema[] = ${JSON.stringify(sections, null, 2)};`,
     '',
@@ -76,20 +77,20 @@
   return lines.join('\n');
 }
 
-/** The reference page for operators. */
+/** Renders the reference page for operators as Markdown. */
 export function renderSettingsPage(schema) {
   const lines = [
     '# Settings',
     '',
-    'Generated from `src/schema/settings.json`. One INI base file describes every',
-    'service; an overlay for a site changes only what differs there.',
+    'Generated from `src/schema/settings.json`. One INI base file describes all',
+    'services; an overlay file of a site overrides only what differs there.',
     '',
   ];
   for (const section of schema.sections) {
-    const head = section.repeated
+    const heading = section.repeated
       ? `[${section.name}.NAME]`
       : `[${section.name}]`;
-    lines.push(`## \`${head}\``, '', `${section.title}.`, '');
+    lines.push(`## \`${heading}\``, '', `${section.title}.`, '');
     lines.push(
       '| key | unit | allowed | default | meaning |',
       '|---|---|---|---|---|',
@@ -99,9 +100,9 @@
         key.minimum === undefined
           ? key.type
           : `${key.minimum} to ${key.maximum}`;
-      const fallback = key.required ? 'required' : `\`${key.default}\``;
+      const defaultText = key.required ? 'required' : `\`${key.default}\``;
       lines.push(
-        `| \`${key.key}\` | ${key.unit ?? ''} | ${allowed} | ${fallback} | ${key.doc} |`,
+        `| \`${key.key}\` | ${key.unit ?? ''} | ${allowed} | ${defaultText} | ${key.doc} |`,
       );
     }
     lines.push('');
