--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,13 +1,14 @@
 import tseslint from 'typescript-eslint';
 
-/** Imports of a layer may only go to the layers named before it. */
+/** Programs must not import from each other. */
 const PROGRAMS = ['proxy', 'control', 'ctl', 'standin', 'load'];
+/** Each layer may import only from the layers before it. */
 const LAYERS = ['base', 'schema', 'services'];
 
-/** The adapter of one platform: nothing of the product may know its names. */
+/** The adapter of one platform, on which the product must not depend. */
 const ADAPTER = 'platform';
 
-const forbid = folders =>
+const forbidImportsFrom = folders =>
   [...folders, ADAPTER].map(folder => ({
     regex: `(^|/)${folder}/(common|node|generated)?`,
     message: `This layer must not import from ${folder}.`,
@@ -17,15 +18,15 @@
   files: [files],
   ignores: ['**/test/**'],
   rules: {
-    'no-restricted-imports': ['error', {patterns: forbid(folders)}],
+    'no-restricted-imports': ['error', {patterns: forbidImportsFrom(folders)}],
   },
 });
 
 const PURE_PATTERNS = [
-  {regex: '^node:', message: 'common/ is pure: no sockets, files or clocks.'},
+  {regex: '^node:', message: 'common/ must not use sockets, files or clocks.'},
   {regex: '/node/', message: 'common/ must not import from node/.'},
-  {regex: '^@grpc/', message: 'common/ is pure: no sockets.'},
-  {regex: '^js-csp$', message: 'common/ is pure: no tasks.'},
+  {regex: '^@grpc/', message: 'common/ must not use sockets.'},
+  {regex: '^js-csp$', message: 'common/ must not run tasks.'},
 ];
 
 export default tseslint.config(
@@ -72,7 +73,7 @@
   ...PROGRAMS.map(program =>
     layerRule(
       `src/${program}/**`,
-      PROGRAMS.filter(other => other !== program),
+      PROGRAMS.filter(name => name !== program),
     ),
   ),
   {
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -23,7 +23,7 @@
   platform: 'node',
   target: 'node20',
   format: 'cjs',
-  // The grammar is a WASM file that its package finds beside itself.
+  // libpg-query loads a WASM file from its own package folder.
   external: ['libpg-query', 'pg', 'pg-native'],
   define: {PROGRAM_VERSION: JSON.stringify(version)},
   banner: {js: '#!/usr/bin/env node'},
--- a/scripts/build_platform.mjs
+++ b/scripts/build_platform.mjs
@@ -1,5 +1,5 @@
-// Bundles the programs for the users' platform under target/, with V8's code
-// cache beside each: without it a small machine compiles for half of its start.
+// Bundles the programs for the users' platform under target/, each with a V8
+// code cache that shortens its start.
 import {spawnSync} from 'node:child_process';
 import {readFileSync} from 'node:fs';
 import {build} from 'esbuild';
@@ -34,7 +34,7 @@
   format: 'cjs',
 });
 
-// V8 takes a cache only under the flags that it was written with.
+// V8 rejects a code cache that was written under other flags.
 const deployment = readFileSync('deploy/system.toml', 'utf8');
 const flags = new Set(deployment.match(/--max-[a-z-]+=\d+/g));
 
@@ -44,5 +44,5 @@
     [...flags, `target/${name}.cjs`, '--write-code-cache'],
     {encoding: 'utf8'},
   );
-  if (status !== 0) throw new Error(`code cache of ${name}: ${stderr}`);
+  if (status !== 0) throw new Error(`No code cache for ${name}: ${stderr}`);
 }
--- a/scripts/hygiene.mjs
+++ b/scripts/hygiene.mjs
@@ -1,4 +1,4 @@
-// Checks what neither the formatter nor the linter sees in tracked files.
+// Checks tracked files for what neither the formatter nor the linter covers.
 import {execFileSync} from 'node:child_process';
 import {readFileSync} from 'node:fs';
 
@@ -6,31 +6,31 @@
   .split('\n')
   .filter(name => name !== '' && name !== 'LICENSE');
 
-const faults = [];
+const errors = [];
 for (const name of files) {
   const base = name.split('/').pop();
   if (/\.ts$/.test(name) && !/^[a-z0-9_.]+$/.test(base)) {
-    faults.push(`${name}: file names are snake_case`);
+    errors.push(`${name}: file names must be in snake_case`);
   }
   const text = readFileSync(name, 'utf8');
   if (
     /\/(work|home|root)\/[a-z]/.test(text) &&
     name !== 'scripts/hygiene.mjs'
   ) {
-    faults.push(`${name}: names a path of a machine`);
+    errors.push(`${name}: contains a path of a machine`);
   }
   if (name === 'package-lock.json' && text.includes('"resolved"')) {
-    faults.push(`${name}: names a registry`);
+    errors.push(`${name}: contains the address of a registry`);
   }
   if (/\.ts$/.test(name) && /copyright|SPDX/i.test(text)) {
-    faults.push(`${name}: source files carry no notice`);
+    errors.push(`${name}: source files must not contain a license notice`);
   }
   if (
     /\.test\.ts$/.test(name) &&
     /\b(it|test|describe)\.(skip|only|todo)\b/.test(text)
   ) {
-    faults.push(`${name}: a test is skipped or singled out`);
+    errors.push(`${name}: contains a test with skip, only or todo`);
   }
 }
-for (const fault of faults) console.error(fault);
-process.exitCode = faults.length > 0 ? 1 : 0;
+for (const error of errors) console.error(error);
+process.exitCode = errors.length > 0 ? 1 : 0;
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -10,7 +10,7 @@
     globalSetup: ['test/build_programs.ts'],
     testTimeout: 30_000,
     hookTimeout: 30_000,
-    // Process tests start a dozen programs each: run few files at once.
+    // Process tests start many programs each, so few files run at once.
     maxWorkers: 3,
   },
 });
