--- a/src/standin/common/database_error.ts
+++ b/src/standin/common/database_error.ts
@@ -1,4 +1,4 @@
-/** A statement that failed, with its SQLSTATE. */
+/** An error response to a statement; `code` is its SQLSTATE. */
 export class DatabaseError extends Error {
   constructor(
     readonly code: string,
--- a/src/standin/common/expressions.ts
+++ b/src/standin/common/expressions.ts
@@ -13,15 +13,15 @@
 } from './database_error';
 import type {RowValues, Value} from './tables';
 
-/** What an expression may refer to. */
-export interface Scope {
+/** The row, parameters and time that an expression can refer to. */
+export interface EvaluationScope {
   readonly row: RowValues;
   readonly parameters: readonly (string | null)[];
-  /** Milliseconds since the epoch. */
-  readonly wallTime: number;
+  /** Result of now(), as milliseconds since the Unix epoch. */
+  readonly wallTimeMs: number;
 }
 
-type Evaluator = (node: SyntaxNode, scope: Scope) => Value;
+type Evaluator = (node: SyntaxNode, scope: EvaluationScope) => Value;
 
 const EVALUATORS: Record<string, Evaluator> = {
   ParamRef: (node, scope) => {
@@ -42,35 +42,35 @@
   },
 };
 
-/** The value of an expression for one row. */
-export function evaluate(expression: unknown, scope: Scope): Value {
+/** Evaluates an expression; throws a `DatabaseError` if it cannot. */
+export function evaluate(expression: unknown, scope: EvaluationScope): Value {
   const constant = constantOf(expression);
   if (constant !== undefined) return constant;
   const [type, node] = unwrapNode(expression);
   const evaluator = EVALUATORS[type];
-  if (!evaluator) throw unsupported(type);
+  if (!evaluator) throw unsupportedError(type);
   return evaluator(node, scope);
 }
 
-/** The error of a part of SQL that the stand-in does not have. */
-export function unsupported(what: string): DatabaseError {
+/** Creates the error for SQL that the stand-in does not implement. */
+export function unsupportedError(what: string): DatabaseError {
   return new DatabaseError(
     FEATURE_NOT_SUPPORTED,
     `the stand-in does not support ${what}`,
   );
 }
 
-/** The column's name in a reference, without its table. */
+/** Returns the name in a column reference, without its table. */
 export function columnNameOf(node: SyntaxNode): string {
   return stringOf(listOf(node, 'fields').at(-1));
 }
 
-/** The function's name in a call, without its schema. */
+/** Returns the name in a function call, without its schema. */
 export function functionNameOf(node: SyntaxNode): string {
   return stringOf(listOf(node, 'funcname').at(-1));
 }
 
-function evaluateColumn(node: SyntaxNode, scope: Scope): Value {
+function evaluateColumn(node: SyntaxNode, scope: EvaluationScope): Value {
   const name = columnNameOf(node);
   const value = scope.row[name];
   if (value !== undefined) return value;
@@ -85,14 +85,14 @@
   return name === 'text' ? String(value) : value;
 }
 
-function evaluateBoolean(node: SyntaxNode, scope: Scope): Value {
+function evaluateBoolean(node: SyntaxNode, scope: EvaluationScope): Value {
   const values = listOf(node, 'args').map(item => evaluate(item, scope));
   if (node['boolop'] === 'NOT_EXPR') return !values[0];
   if (node['boolop'] === 'AND_EXPR') return values.every(Boolean);
   return values.some(Boolean);
 }
 
-function evaluateOperator(node: SyntaxNode, scope: Scope): Value {
+function evaluateOperator(node: SyntaxNode, scope: EvaluationScope): Value {
   const left = evaluate(node['lexpr'], scope);
   if (node['kind'] === 'AEXPR_IN') {
     const [, list] = unwrapNode(node['rexpr']);
@@ -109,20 +109,20 @@
   left: NonNullable<Value>,
   right: NonNullable<Value>,
 ): Value {
-  const order = compareValues(left, right);
+  const comparison = compareValues(left, right);
   switch (operator) {
     case '=':
-      return order === 0;
+      return comparison === 0;
     case '<>':
-      return order !== 0;
+      return comparison !== 0;
     case '<':
-      return order < 0;
+      return comparison < 0;
     case '<=':
-      return order <= 0;
+      return comparison <= 0;
     case '>':
-      return order > 0;
+      return comparison > 0;
     case '>=':
-      return order >= 0;
+      return comparison >= 0;
     case '+':
       return Number(left) + Number(right);
     case '-':
@@ -134,11 +134,11 @@
     case '||':
       return `${left}${right}`;
     default:
-      throw unsupported(`the operator ${operator}`);
+      throw unsupportedError(`the operator ${operator}`);
   }
 }
 
-/** Orders two values; text is taken as a number beside a number. */
+/** Compares numerically if either value is a number; NULL sorts last. */
 export function compareValues(left: Value, right: Value): number {
   if (left === null || right === null) {
     return Number(left === null) - Number(right === null);
@@ -146,17 +146,17 @@
   if (typeof left === 'number' || typeof right === 'number') {
     return Number(left) - Number(right);
   }
-  const [first, second] = [String(left), String(right)];
-  if (first === second) return 0;
-  return first < second ? -1 : 1;
+  const [leftText, rightText] = [String(left), String(right)];
+  if (leftText === rightText) return 0;
+  return leftText < rightText ? -1 : 1;
 }
 
-function evaluateFunction(node: SyntaxNode, scope: Scope): Value {
+function evaluateFunction(node: SyntaxNode, scope: EvaluationScope): Value {
   const name = functionNameOf(node);
   const values = listOf(node, 'args').map(item => evaluate(item, scope));
   switch (name) {
     case 'now':
-      return new Date(scope.wallTime).toISOString();
+      return new Date(scope.wallTimeMs).toISOString();
     case 'lower':
       return String(values[0]).toLowerCase();
     case 'upper':
--- a/src/standin/common/group_log.ts
+++ b/src/standin/common/group_log.ts
@@ -2,44 +2,44 @@
 import type {TermMark} from '../../schema/generated/replication';
 import type {RowOperation} from './tables';
 
-/** One committed transaction. */
-export interface GroupEntry {
+/** A committed transaction in the log. */
+export interface LogEntry {
   readonly offset: number;
   readonly term: number;
   readonly operations: readonly RowOperation[];
 }
 
-/** The log of one database member, in memory. */
+/** The in-memory replication log of a member. */
 export class GroupLog {
-  private entries: GroupEntry[] = [];
+  private entries: LogEntry[] = [];
 
   get lastOffset(): number {
     return this.entries.length;
   }
 
-  get last(): Position {
+  get lastPosition(): Position {
     const entry = this.entries.at(-1);
     return {term: entry?.term ?? 0, offset: this.lastOffset};
   }
 
-  append(entry: GroupEntry): void {
+  append(entry: LogEntry): void {
     if (entry.offset !== this.lastOffset + 1) {
-      throw new Error(`gap in the log before offset ${entry.offset}`);
+      throw new Error(`log has a gap before offset ${entry.offset}`);
     }
     this.entries.push(entry);
   }
 
-  /** Entries after an offset, at most so many. */
-  after(offset: number, most: number): GroupEntry[] {
-    return this.entries.slice(offset, offset + most);
+  /** Returns at most `maxCount` entries after an offset. */
+  readAfter(offset: number, maxCount: number): LogEntry[] {
+    return this.entries.slice(offset, offset + maxCount);
   }
 
   truncateAfter(offset: number): void {
     this.entries.length = Math.min(this.entries.length, offset);
   }
 
-  /** The last offset of each term in the log. */
-  marks(): TermMark[] {
+  /** Returns the last offset of each term in the log. */
+  termMarks(): TermMark[] {
     const marks: TermMark[] = [];
     for (const {term, offset} of this.entries) {
       const last = marks.at(-1);
@@ -49,17 +49,17 @@
     return marks;
   }
 
-  /** How much of another log, known by its marks, this one agrees with. */
+  /** Returns the last offset shared with a log that has these term marks. */
   commonOffset(marks: readonly TermMark[]): number {
-    const own = new Map(
-      this.marks().map(({term, lastOffset}) => [term, lastOffset]),
+    const ownOffsets = new Map(
+      this.termMarks().map(({term, lastOffset}) => [term, lastOffset]),
     );
     let common = 0;
     for (const {term, lastOffset} of marks) {
-      const ownLast = own.get(term);
-      if (ownLast === undefined) break;
-      common = Math.min(ownLast, lastOffset);
-      if (ownLast !== lastOffset) break;
+      const ownLastOffset = ownOffsets.get(term);
+      if (ownLastOffset === undefined) break;
+      common = Math.min(ownLastOffset, lastOffset);
+      if (ownLastOffset !== lastOffset) break;
     }
     return common;
   }
--- a/src/standin/common/select.ts
+++ b/src/standin/common/select.ts
@@ -16,110 +16,114 @@
   compareValues,
   evaluate,
   functionNameOf,
-  unsupported,
-  type Scope,
+  unsupportedError,
+  type EvaluationScope,
 } from './expressions';
 import type {ColumnType, RowValues, TableColumn, Value} from './tables';
 
 const AGGREGATES = new Set(['count', 'sum', 'min', 'max']);
 
-const TYPES: Record<ColumnType, number> = {
+const TYPE_OIDS: Record<ColumnType, number> = {
   text: TYPE_TEXT,
   number: TYPE_INT8,
   boolean: TYPE_BOOL,
 };
 
-/** Where a SELECT takes its rows from. */
-export interface Source {
+/** The rows and columns that a SELECT reads. */
+export interface RowSource {
   readonly columns: readonly TableColumn[];
   readonly rows: Iterable<RowValues>;
 }
 
-/** What a SELECT or RETURNING gives; rows are made as they are taken. */
-export interface Answer {
+/** Output of a SELECT or RETURNING clause; rows are computed lazily. */
+export interface ResultSet {
   readonly columns: readonly Column[];
   readonly rows: Iterable<readonly (string | null)[]>;
 }
 
-type Environment = Omit<Scope, 'row'>;
+type StatementScope = Omit<EvaluationScope, 'row'>;
 
-interface Output {
+interface OutputColumn {
   readonly column: Column;
-  readonly value: (row: RowValues) => Value;
+  readonly evaluateRow: (row: RowValues) => Value;
 }
 
-/** Runs the clauses of a SELECT over its source. */
+/** Evaluates a SELECT over its row source. */
 export function select(
   node: SyntaxNode,
-  source: Source,
-  environment: Environment,
-): Answer {
+  source: RowSource,
+  environment: StatementScope,
+): ResultSet {
   const rows = filter(node['whereClause'], source.rows, environment);
   const targets = listOf(node, 'targetList');
   if (targets.some(isAggregate)) {
     return aggregate(targets, [...rows], environment);
   }
   const outputs = targets.flatMap(target => {
-    return outputsOf(target, source, environment);
+    return outputColumnsOf(target, source, environment);
   });
   const sorted = sort(node, rows, environment);
   const limited = limit(node, sorted, environment);
   return {
     columns: outputs.map(({column}) => column),
-    rows: map(limited, row => outputs.map(({value}) => toText(value(row)))),
+    rows: map(limited, row =>
+      outputs.map(({evaluateRow}) => encodeText(evaluateRow(row))),
+    ),
   };
 }
 
-/** The rows for which a condition holds. */
+/** Yields the rows that satisfy a condition; all if there is none. */
 export function* filter(
   condition: unknown,
   rows: Iterable<RowValues>,
-  environment: Environment,
+  environment: StatementScope,
 ): Generator<RowValues> {
   for (const row of rows) {
     if (!condition || evaluate(condition, {...environment, row})) yield row;
   }
 }
 
-/** The columns that a select list gives, without running it. */
-export function describeTargets(
+/** Returns the output columns of a select list without evaluating it. */
+export function describeOutput(
   targets: readonly SyntaxNode[],
   columns: readonly TableColumn[],
 ): Column[] {
-  const environment = {parameters: [], wallTime: 0};
+  const environment = {parameters: [], wallTimeMs: 0};
   const source = {columns, rows: []};
   return targets.flatMap(target => {
     if (isAggregate(target)) return [aggregateColumn(target)];
-    return outputsOf(target, source, environment).map(({column}) => column);
+    return outputColumnsOf(target, source, environment).map(
+      ({column}) => column,
+    );
   });
 }
 
-/** The protocol's text of a value. */
-export function toText(value: Value): string | null {
+/** Encodes a value in PostgreSQL's text format. */
+export function encodeText(value: Value): string | null {
   if (value === null) return null;
   if (typeof value === 'boolean') return value ? 't' : 'f';
   return String(value);
 }
 
-function outputsOf(
+function outputColumnsOf(
   target: SyntaxNode,
-  source: Source,
-  environment: Environment,
-): Output[] {
+  source: RowSource,
+  environment: StatementScope,
+): OutputColumn[] {
   const [, {val, name}] = unwrapNode(target);
   const [type, node] = unwrapNode(val);
   if (type === 'ColumnRef' && isStar(node)) {
     return source.columns.map(column => ({
-      column: {name: column.name, type: TYPES[column.type]},
-      value: row => row[column.name] ?? null,
+      column: {name: column.name, type: TYPE_OIDS[column.type]},
+      evaluateRow: row => row[column.name] ?? null,
     }));
   }
   const column = {
     name: name ? String(name) : defaultName(type, node),
-    type: typeOfExpression(type, node, source.columns),
+    type: typeOidOf(type, node, source.columns),
   };
-  const value = (row: RowValues) => evaluate(val, {...environment, row});
-  return [{column, value}];
+  const evaluateRow = (row: RowValues) => evaluate(val, {...environment, row});
+  return [{column, evaluateRow}];
 }
 
 function isStar(node: SyntaxNode): boolean {
@@ -131,15 +135,15 @@
   return type === 'FuncCall' ? functionNameOf(node) : '?column?';
 }
 
-function typeOfExpression(
+function typeOidOf(
   type: string,
   node: SyntaxNode,
   columns: readonly TableColumn[],
 ): number {
   if (type === 'ColumnRef') {
     const name = columnNameOf(node);
-    const column = columns.find(other => other.name === name);
-    return column ? TYPES[column.type] : TYPE_TEXT;
+    const column = columns.find(candidate => candidate.name === name);
+    return column ? TYPE_OIDS[column.type] : TYPE_TEXT;
   }
   if (type === 'A_Const' && node['ival']) return TYPE_INT8;
   if (type === 'A_Expr' && stringOf(listOf(node, 'name')[0]) !== '||') {
@@ -163,20 +167,23 @@
 function aggregate(
   targets: readonly SyntaxNode[],
   rows: readonly RowValues[],
-  environment: Environment,
-): Answer {
+  environment: StatementScope,
+): ResultSet {
   const values = targets.map(target => {
-    if (!isAggregate(target)) throw unsupported('GROUP BY');
+    if (!isAggregate(target)) throw unsupportedError('GROUP BY');
     const [, {val}] = unwrapNode(target);
     return aggregateValue(unwrapNode(val)[1], rows, environment);
   });
-  return {columns: targets.map(aggregateColumn), rows: [values.map(toText)]};
+  return {
+    columns: targets.map(aggregateColumn),
+    rows: [values.map(encodeText)],
+  };
 }
 
 function aggregateValue(
   node: SyntaxNode,
   rows: readonly RowValues[],
-  environment: Environment,
+  environment: StatementScope,
 ): Value {
   const name = functionNameOf(node);
   if (node['agg_star']) return rows.length;
@@ -196,17 +203,17 @@
 function sort(
   node: SyntaxNode,
   rows: Iterable<RowValues>,
-  environment: Environment,
+  environment: StatementScope,
 ): Iterable<RowValues> {
   const keys = listOf(node, 'sortClause').map(item => unwrapNode(item)[1]);
   if (keys.length === 0) return rows;
-  return [...rows].sort((a, b) => {
+  return [...rows].sort((leftRow, rightRow) => {
     for (const key of keys) {
-      const first = evaluate(key['node'], {...environment, row: a});
-      const second = evaluate(key['node'], {...environment, row: b});
-      const order = compareValues(first, second);
-      if (order === 0) continue;
-      return key['sortby_dir'] === 'SORTBY_DESC' ? -order : order;
+      const left = evaluate(key['node'], {...environment, row: leftRow});
+      const right = evaluate(key['node'], {...environment, row: rightRow});
+      const comparison = compareValues(left, right);
+      if (comparison === 0) continue;
+      return key['sortby_dir'] === 'SORTBY_DESC' ? -comparison : comparison;
     }
     return 0;
   });
@@ -215,17 +222,20 @@
 function* limit(
   node: SyntaxNode,
   rows: Iterable<RowValues>,
-  environment: Environment,
+  environment: StatementScope,
 ): Generator<RowValues> {
-  const count = node['limitCount'];
+  const limitNode = node['limitCount'];
   const scope = {...environment, row: {}};
-  let left = count ? Number(evaluate(count, scope)) : Infinity;
+  let remaining = limitNode ? Number(evaluate(limitNode, scope)) : Infinity;
   for (const row of rows) {
-    if (left-- <= 0) return;
+    if (remaining-- <= 0) return;
     yield row;
   }
 }
 
-function* map<A, B>(items: Iterable<A>, change: (item: A) => B): Generator<B> {
-  for (const item of items) yield change(item);
+function* map<A, B>(
+  items: Iterable<A>,
+  transform: (item: A) => B,
+): Generator<B> {
+  for (const item of items) yield transform(item);
 }
--- a/src/standin/common/statements.ts
+++ b/src/standin/common/statements.ts
@@ -11,39 +11,39 @@
   DUPLICATE_TABLE,
   UNDEFINED_COLUMN,
 } from './database_error';
-import {evaluate, functionNameOf, unsupported} from './expressions';
+import {evaluate, functionNameOf, unsupportedError} from './expressions';
 import {
-  describeTargets,
+  describeOutput,
   filter,
   select,
-  type Answer,
-  type Source,
+  type ResultSet,
+  type RowSource,
 } from './select';
 import type {ColumnType, RowValues, Table, Value} from './tables';
-import {uniqueViolation, type Transaction} from './transaction';
+import {uniqueViolationError, type Transaction} from './transaction';
 
-/** What a statement runs in. */
+/** The transaction and inputs that a statement runs with. */
 export interface StatementContext {
   readonly transaction: Transaction;
   readonly parameters: readonly (string | null)[];
-  readonly wallTime: number;
-  /** Tables that show the member's own state. */
-  virtualTable(name: string): Source | undefined;
+  readonly wallTimeMs: number;
+  /** Finds a read-only table that shows the member's state. */
+  findVirtualTable(name: string): RowSource | undefined;
 }
 
-/** What a statement gives. */
+/** The outcome of a statement that succeeded. */
 export interface StatementResult {
-  /** The command tag; for SELECT the number of rows is added. */
+  /** The command tag; the row count of a SELECT is not part of it yet. */
   readonly tag: string;
-  readonly answer: Answer | undefined;
+  readonly result: ResultSet | undefined;
 }
 
-/** Whether a statement may change rows. */
+/** Whether a statement may write; only SELECT does not. */
 export function isWrite({type}: ParsedStatement): boolean {
   return type !== 'SelectStmt';
 }
 
-/** Runs one statement that is no transaction command. */
+/** Runs a SELECT, a data change or a CREATE TABLE; rejects the rest. */
 export function runStatement(
   statement: ParsedStatement,
   context: StatementContext,
@@ -61,122 +61,131 @@
     case 'CreateStmt':
       return runCreate(node, context);
     default:
-      throw unsupported(type);
+      throw unsupportedError(type);
   }
 }
 
-/** The columns that a statement answers with; undefined for none. */
+/** Returns a statement's output columns; undefined if it has none. */
 export function describeStatement(
   {type, node}: ParsedStatement,
   context: StatementContext,
 ): Column[] | undefined {
   if (type === 'SelectStmt') {
-    const {columns} = sourceOf(node, context);
-    return describeTargets(listOf(node, 'targetList'), columns);
+    const {columns} = findRowSource(node, context);
+    return describeOutput(listOf(node, 'targetList'), columns);
   }
-  const returning = returningOf(node);
+  const returning = returningTargetsOf(node);
   if (returning.length === 0) return undefined;
-  const {columns} = context.transaction.table(relationOf(node));
-  return describeTargets(returning, columns);
+  const {columns} = context.transaction.table(relationNameOf(node));
+  return describeOutput(returning, columns);
 }
 
 function runSelect(
   node: SyntaxNode,
   context: StatementContext,
 ): StatementResult {
-  const answer = select(node, sourceOf(node, context), context);
-  return {tag: 'SELECT', answer};
+  const result = select(node, findRowSource(node, context), context);
+  return {tag: 'SELECT', result};
 }
 
-function sourceOf(node: SyntaxNode, context: StatementContext): Source {
+function findRowSource(node: SyntaxNode, context: StatementContext): RowSource {
   const [first, second] = listOf(node, 'fromClause');
-  if (second) throw unsupported('joins');
+  if (second) throw unsupportedError('joins');
   if (!first) return {columns: [], rows: [{}]};
   const [type, from] = unwrapNode(first);
-  if (type === 'RangeFunction') return seriesOf(from, context);
-  if (type !== 'RangeVar') throw unsupported(type);
+  if (type === 'RangeFunction') return seriesSource(from, context);
+  if (type !== 'RangeVar') throw unsupportedError(type);
   const name = String(from['relname']);
-  const virtual = context.virtualTable(name);
-  if (virtual) return virtual;
+  const virtualTable = context.findVirtualTable(name);
+  if (virtualTable) return virtualTable;
   const {columns} = context.transaction.table(name);
-  return {columns, rows: valuesOf(context.transaction.rows(name))};
+  return {columns, rows: eachValues(context.transaction.rows(name))};
 }
 
-function* valuesOf(rows: Iterable<{values: RowValues}>): Generator<RowValues> {
+function* eachValues(
+  rows: Iterable<{values: RowValues}>,
+): Generator<RowValues> {
   for (const {values} of rows) yield values;
 }
 
-function seriesOf(from: SyntaxNode, context: StatementContext): Source {
+function seriesSource(from: SyntaxNode, context: StatementContext): RowSource {
   const [, list] = unwrapNode(listOf(from, 'functions')[0]);
   const [, call] = unwrapNode(listOf(list, 'items')[0]);
   if (functionNameOf(call) !== 'generate_series') {
-    throw unsupported('functions as tables');
+    throw unsupportedError('functions as tables');
   }
   const alias = from['alias'] as SyntaxNode | undefined;
   const name = String(alias?.['aliasname'] ?? 'generate_series');
   const scope = {...context, row: {}};
-  const [low = 1, high = 0] = listOf(call, 'args').map(item => {
+  const [start = 1, stop = 0] = listOf(call, 'args').map(item => {
     return Number(evaluate(item, scope));
   });
-  return {columns: [{name, type: 'number'}], rows: series(name, low, high)};
+  return {
+    columns: [{name, type: 'number'}],
+    rows: generateSeries(name, start, stop),
+  };
 }
 
-function* series(
+function* generateSeries(
   name: string,
-  low: number,
-  high: number,
+  start: number,
+  stop: number,
 ): Generator<RowValues> {
-  for (let value = low; value <= high; value++) yield {[name]: value};
+  for (let value = start; value <= stop; value++) yield {[name]: value};
 }
 
 function runInsert(
   node: SyntaxNode,
   context: StatementContext,
 ): StatementResult {
-  const table = context.transaction.table(relationOf(node));
-  const named = listOf(node, 'cols').map(column => {
+  const table = context.transaction.table(relationNameOf(node));
+  const listedNames = listOf(node, 'cols').map(column => {
     return String(unwrapNode(column)[1]['name']);
   });
-  const names = named.length > 0 ? named : table.columns.map(({name}) => name);
-  const ignoreTaken = node['onConflictClause'] !== undefined;
+  const columnNames =
+    listedNames.length > 0 ? listedNames : table.columns.map(({name}) => name);
+  const skipsDuplicates = node['onConflictClause'] !== undefined;
   const inserted: RowValues[] = [];
-  for (const items of insertedItems(node)) {
-    const values = insertedValues(table, names, items, context);
+  for (const items of listInsertedRows(node)) {
+    const values = evaluateInsertedRow(table, columnNames, items, context);
     if (context.transaction.insert(table.name, values)) inserted.push(values);
-    else if (!ignoreTaken) throw takenKey(table, values);
+    else if (!skipsDuplicates) throw duplicateKeyError(table, values);
   }
-  const answer = returningAnswer(node, table, inserted, context);
-  return {tag: `INSERT 0 ${inserted.length}`, answer};
+  const result = selectReturning(node, table, inserted, context);
+  return {tag: `INSERT 0 ${inserted.length}`, result};
 }
 
-function takenKey(table: Table, values: RowValues): DatabaseError {
-  return uniqueViolation(table.name, String(values[table.primaryKey ?? '']));
+function duplicateKeyError(table: Table, values: RowValues): DatabaseError {
+  return uniqueViolationError(
+    table.name,
+    String(values[table.primaryKey ?? '']),
+  );
 }
 
-function insertedItems(node: SyntaxNode): SyntaxNode[][] {
+function listInsertedRows(node: SyntaxNode): SyntaxNode[][] {
   const [, source] = unwrapNode(node['selectStmt']);
   const lists = listOf(source, 'valuesLists');
-  if (lists.length === 0) throw unsupported('INSERT from SELECT');
+  if (lists.length === 0) throw unsupportedError('INSERT from SELECT');
   return lists.map(list => listOf(unwrapNode(list)[1], 'items'));
 }
 
-function insertedValues(
+function evaluateInsertedRow(
   table: Table,
-  names: readonly string[],
+  columnNames: readonly string[],
   items: readonly SyntaxNode[],
   context: StatementContext,
 ): RowValues {
   const values: Record<string, Value> = {};
   for (const {name} of table.columns) values[name] = null;
-  names.forEach((name, at) => {
-    const value = evaluate(items[at], {...context, row: {}});
-    values[name] = convert(table, name, value);
+  columnNames.forEach((name, index) => {
+    const value = evaluate(items[index], {...context, row: {}});
+    values[name] = convertValue(table, name, value);
   });
   return values;
 }
 
-function convert(table: Table, name: string, value: Value): Value {
-  const column = table.columns.find(other => other.name === name);
+function convertValue(table: Table, name: string, value: Value): Value {
+  const column = table.columns.find(candidate => candidate.name === name);
   if (!column) {
     const message = `column "${name}" of "${table.name}" does not exist`;
     throw new DatabaseError(UNDEFINED_COLUMN, message);
@@ -191,35 +200,39 @@
   node: SyntaxNode,
   context: StatementContext,
 ): StatementResult {
-  const table = context.transaction.table(relationOf(node));
+  const table = context.transaction.table(relationNameOf(node));
   const updated: RowValues[] = [];
-  for (const {key, values} of matching(node, table, context)) {
-    const next: Record<string, Value> = {...values};
+  for (const {key, values} of findMatchingRows(node, table, context)) {
+    const newValues: Record<string, Value> = {...values};
     for (const target of listOf(node, 'targetList')) {
       const [, {name, val}] = unwrapNode(target);
       const value = evaluate(val, {...context, row: values});
-      next[String(name)] = convert(table, String(name), value);
+      newValues[String(name)] = convertValue(table, String(name), value);
     }
-    context.transaction.update(table.name, key, next);
-    updated.push(next);
+    context.transaction.update(table.name, key, newValues);
+    updated.push(newValues);
   }
-  const answer = returningAnswer(node, table, updated, context);
-  return {tag: `UPDATE ${updated.length}`, answer};
+  const result = selectReturning(node, table, updated, context);
+  return {tag: `UPDATE ${updated.length}`, result};
 }
 
 function runDelete(
   node: SyntaxNode,
   context: StatementContext,
 ): StatementResult {
-  const table = context.transaction.table(relationOf(node));
-  const deleted = matching(node, table, context);
+  const table = context.transaction.table(relationNameOf(node));
+  const deleted = findMatchingRows(node, table, context);
   for (const {key} of deleted) context.transaction.delete(table.name, key);
   const rows = deleted.map(({values}) => values);
-  const answer = returningAnswer(node, table, rows, context);
-  return {tag: `DELETE ${deleted.length}`, answer};
+  const result = selectReturning(node, table, rows, context);
+  return {tag: `DELETE ${deleted.length}`, result};
 }
 
-function matching(node: SyntaxNode, table: Table, context: StatementContext) {
+function findMatchingRows(
+  node: SyntaxNode,
+  table: Table,
+  context: StatementContext,
+) {
   const condition = node['whereClause'];
   const rows = [...context.transaction.rows(table.name)];
   return rows.filter(({values}) => {
@@ -227,18 +240,18 @@
   });
 }
 
-function returningOf(node: SyntaxNode): SyntaxNode[] {
+function returningTargetsOf(node: SyntaxNode): SyntaxNode[] {
   const clause = (node['returningClause'] ?? {}) as SyntaxNode;
   return listOf(clause, 'exprs');
 }
 
-function returningAnswer(
+function selectReturning(
   node: SyntaxNode,
   table: Table,
   rows: readonly RowValues[],
   context: StatementContext,
-): Answer | undefined {
-  const targets = returningOf(node);
+): ResultSet | undefined {
+  const targets = returningTargetsOf(node);
   if (targets.length === 0) return undefined;
   return select({targetList: targets}, {columns: table.columns, rows}, context);
 }
@@ -247,9 +260,9 @@
   node: SyntaxNode,
   context: StatementContext,
 ): StatementResult {
-  const name = relationOf(node);
+  const name = relationNameOf(node);
   if (context.transaction.findTable(name)) {
-    if (node['if_not_exists']) return {tag: 'CREATE TABLE', answer: undefined};
+    if (node['if_not_exists']) return {tag: 'CREATE TABLE', result: undefined};
     const message = `relation "${name}" already exists`;
     throw new DatabaseError(DUPLICATE_TABLE, message);
   }
@@ -258,7 +271,7 @@
   );
   const columns = definitions.map(definition => ({
     name: String(definition['colname']),
-    type: columnType(definition['typeName'] as SyntaxNode),
+    type: columnTypeOf(definition['typeName'] as SyntaxNode),
   }));
   const key = definitions.find(isPrimaryKey);
   context.transaction.create({
@@ -267,7 +280,7 @@
     primaryKey: key ? String(key['colname']) : null,
     rows: new Map(),
   });
-  return {tag: 'CREATE TABLE', answer: undefined};
+  return {tag: 'CREATE TABLE', result: undefined};
 }
 
 function isPrimaryKey(definition: SyntaxNode): boolean {
@@ -276,12 +289,12 @@
   });
 }
 
-function columnType(typeName: SyntaxNode): ColumnType {
+function columnTypeOf(typeName: SyntaxNode): ColumnType {
   const name = stringOf(listOf(typeName, 'names').at(-1));
   if (/^(int|float|numeric)/.test(name)) return 'number';
   return name === 'bool' ? 'boolean' : 'text';
 }
 
-function relationOf(node: SyntaxNode): string {
+function relationNameOf(node: SyntaxNode): string {
   return String((node['relation'] as SyntaxNode)['relname']);
 }
--- a/src/standin/common/tables.ts
+++ b/src/standin/common/tables.ts
@@ -1,10 +1,9 @@
-/** A value in a row. */
 export type Value = string | number | boolean | null;
 
-/** The values of a row by column name. */
+/** Values of a row, keyed by column name. */
 export type RowValues = Readonly<Record<string, Value>>;
 
-/** How values of a column are kept and shown. */
+/** Storage type of a column; integers and floats are both numbers. */
 export type ColumnType = 'text' | 'number' | 'boolean';
 
 export interface TableColumn {
@@ -12,7 +11,7 @@
   readonly type: ColumnType;
 }
 
-/** A change of one row or table, as the log carries it. */
+/** A change of one row or table, as recorded in the log. */
 export type RowOperation =
   | {
       readonly kind: 'create';
@@ -28,7 +27,7 @@
     }
   | {readonly kind: 'delete'; readonly table: string; readonly key: string};
 
-/** A row as it stands, with the offset that wrote it. */
+/** A row with the log offset of its last write as its version. */
 export interface StoredRow {
   readonly key: string;
   readonly values: RowValues;
@@ -42,7 +41,7 @@
   readonly rows: Map<string, StoredRow>;
 }
 
-/** The tables of one member, as far as its log is applied. */
+/** The tables of a member, built by applying its log. */
 export class TableStore {
   private tables = new Map<string, Table>();
 
@@ -55,10 +54,10 @@
   }
 
   apply(offset: number, operations: readonly RowOperation[]): void {
-    for (const operation of operations) this.applyOne(offset, operation);
+    for (const operation of operations) this.applyOperation(offset, operation);
   }
 
-  private applyOne(offset: number, operation: RowOperation): void {
+  private applyOperation(offset: number, operation: RowOperation): void {
     if (operation.kind === 'create') {
       const {table: name, columns, primaryKey} = operation;
       this.tables.set(name, {name, columns, primaryKey, rows: new Map()});
--- a/src/standin/common/transaction.ts
+++ b/src/standin/common/transaction.ts
@@ -13,29 +13,29 @@
 } from './tables';
 
 interface PendingWrite {
-  /** The version that the write was made against; 0 for none. */
-  readonly basis: number;
+  /** Row version before the write; 0 if there was no row. */
+  readonly baseVersion: number;
   readonly values: RowValues | undefined;
 }
 
-/** The writes of one transaction on top of the tables. */
+/** Buffers a transaction's writes until its commit. */
 export class Transaction {
   private readonly writes = new Map<string, Map<string, PendingWrite>>();
-  private readonly created = new Map<string, Table>();
-  private rowCount = 0;
+  private readonly createdTables = new Map<string, Table>();
+  private generatedKeyCount = 0;
 
-  /** The id names rows of tables without a primary key. */
+  /** `keyPrefix` makes generated keys unique across transactions. */
   constructor(
     private readonly store: TableStore,
-    private readonly id: string,
+    private readonly keyPrefix: string,
   ) {}
 
   get hasWrites(): boolean {
-    return this.writes.size > 0 || this.created.size > 0;
+    return this.writes.size > 0 || this.createdTables.size > 0;
   }
 
   findTable(name: string): Table | undefined {
-    return this.created.get(name) ?? this.store.table(name);
+    return this.createdTables.get(name) ?? this.store.table(name);
   }
 
   table(name: string): Table {
@@ -48,33 +48,32 @@
   }
 
   create(table: Table): void {
-    this.created.set(table.name, table);
+    this.createdTables.set(table.name, table);
   }
 
-  /** The rows of a table as this transaction sees them. */
+  /** Yields the rows of a table, including this transaction's writes. */
   *rows(name: string): Generator<StoredRow> {
     const pending = this.writes.get(name);
     for (const row of this.table(name).rows.values()) {
       if (!pending?.has(row.key)) yield row;
     }
-    for (const [key, {values, basis}] of pending ?? []) {
-      if (values) yield {key, values, version: basis};
+    for (const [key, {values, baseVersion}] of pending ?? []) {
+      if (values) yield {key, values, version: baseVersion};
     }
   }
 
-  /** One row by its key. */
-  row(name: string, key: string): StoredRow | undefined {
+  findRow(name: string, key: string): StoredRow | undefined {
     const pending = this.writes.get(name)?.get(key);
     if (!pending) return this.table(name).rows.get(key);
-    const {values, basis} = pending;
-    return values && {key, values, version: basis};
+    const {values, baseVersion} = pending;
+    return values && {key, values, version: baseVersion};
   }
 
-  /** Inserts a row; false where its key is taken. */
+  /** Inserts a row; returns false if its key already exists. */
   insert(name: string, values: RowValues): boolean {
     const {primaryKey} = this.table(name);
-    const key = primaryKey ? String(values[primaryKey]) : this.newKey();
-    if (this.row(name, key)) return false;
+    const key = primaryKey ? String(values[primaryKey]) : this.generateKey();
+    if (this.findRow(name, key)) return false;
     this.write(name, key, values);
     return true;
   }
@@ -88,12 +87,12 @@
   }
 
   /**
-   * What a commit appends to the log. Fails where another transaction has
-   * written one of the rows since: the first to commit wins.
+   * Returns the operations that a commit appends to the log. Throws if another
+   * transaction has since committed a write to one of the rows.
    */
-  operations(): RowOperation[] {
+  buildOperations(): RowOperation[] {
     const operations: RowOperation[] = [];
-    for (const {name, columns, primaryKey} of this.created.values()) {
+    for (const {name, columns, primaryKey} of this.createdTables.values()) {
       operations.push({kind: 'create', table: name, columns, primaryKey});
     }
     for (const [table, writes] of this.writes) {
@@ -109,8 +108,8 @@
 
   private checkConflict(table: string, key: string, write: PendingWrite) {
     const version = this.store.table(table)?.rows.get(key)?.version ?? 0;
-    if (version === write.basis) return;
-    if (write.basis === 0) throw uniqueViolation(table, key);
+    if (version === write.baseVersion) return;
+    if (write.baseVersion === 0) throw uniqueViolationError(table, key);
     throw new DatabaseError(
       SERIALIZATION_FAILURE,
       'could not serialize access due to concurrent update',
@@ -119,18 +118,23 @@
 
   private write(name: string, key: string, values: RowValues | undefined) {
     const writes = this.writes.get(name) ?? new Map<string, PendingWrite>();
-    const basis =
-      writes.get(key)?.basis ?? this.table(name).rows.get(key)?.version ?? 0;
-    writes.set(key, {basis, values});
+    const baseVersion =
+      writes.get(key)?.baseVersion ??
+      this.table(name).rows.get(key)?.version ??
+      0;
+    writes.set(key, {baseVersion, values});
     this.writes.set(name, writes);
   }
 
-  private newKey(): string {
-    return `#${this.id}.${++this.rowCount}`;
+  private generateKey(): string {
+    return `#${this.keyPrefix}.${++this.generatedKeyCount}`;
   }
 }
 
-export function uniqueViolation(table: string, key: string): DatabaseError {
+export function uniqueViolationError(
+  table: string,
+  key: string,
+): DatabaseError {
   return new DatabaseError(
     UNIQUE_VIOLATION,
     `duplicate key value violates unique constraint "${table}_pkey": ${key}`,
--- a/src/standin/node/database_server.ts
+++ b/src/standin/node/database_server.ts
@@ -5,18 +5,18 @@
 import {encodeError} from '../../services/wire/common/backend';
 import {FrameConnection} from '../../services/wire/node/frame_connection';
 import {TOO_MANY_CONNECTIONS} from '../common/database_error';
-import {Session, type SessionHost} from './session';
+import {Session, type SessionDependencies} from './session';
 
-const MOST_FRAME_BYTES = 64 * 1024 * 1024;
+const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
-/** How a member takes connections. */
+/** Limits and costs of a member's client connections. */
 export interface ConnectionLimits {
   readonly connections: number;
-  /** What opening one costs, in milliseconds. */
+  /** Simulated duration of connecting, in milliseconds. */
   readonly connectionCostMs: number;
 }
 
-/** The PostgreSQL side of a stand-in member. */
+/** Serves the PostgreSQL protocol for a stand-in member. */
 export class DatabaseServer {
   private readonly sessions = new Set<Session>();
   private connectionCount = 0;
@@ -24,14 +24,14 @@
   private readonly server: Server;
 
   constructor(
-    private readonly host: SessionHost,
+    private readonly sessionDependencies: SessionDependencies,
     private readonly limits: ConnectionLimits,
     private readonly signal: AbortSignal,
   ) {
     this.server = createServer(socket => this.accept(socket));
   }
 
-  /** Starts to listen; the bound port. */
+  /** Starts listening and returns the bound port. */
   listen(port: number, address: string): Promise<number> {
     this.signal.addEventListener('abort', () => this.server.close());
     return new Promise((resolve, reject) => {
@@ -46,17 +46,17 @@
   private accept(socket: Socket): void {
     const connection = new FrameConnection(
       socket,
-      MOST_FRAME_BYTES,
+      MAX_FRAME_BYTES,
       this.signal,
     );
-    void startTask('standin session', () => this.serve(connection));
+    void startTask('standin session', () => this.acceptStartup(connection));
   }
 
-  private *serve(connection: FrameConnection): Task<void> {
+  private *acceptStartup(connection: FrameConnection): Task<void> {
     for (;;) {
-      const incoming = yield* connection.receive();
-      if (incoming?.kind !== 'startup') return connection.destroy();
-      const {packet} = incoming;
+      const input = yield* connection.receive();
+      if (input?.kind !== 'startup') return connection.destroy();
+      const {packet} = input;
       if (packet.kind === 'startup') break;
       if (packet.kind === 'encryption') Session.refuseEncryption(connection);
       else {
@@ -64,10 +64,10 @@
         return connection.end();
       }
     }
-    yield* this.serveSession(connection);
+    yield* this.runSession(connection);
   }
 
-  private *serveSession(connection: FrameConnection): Task<void> {
+  private *runSession(connection: FrameConnection): Task<void> {
     if (this.connectionCount >= this.limits.connections) {
       return connection.end(
         encodeError({
@@ -81,7 +81,7 @@
     yield* settled(sleep(this.limits.connectionCostMs));
     const session = new Session(
       connection,
-      this.host,
+      this.sessionDependencies,
       ++this.lastProcessId,
       randomInt(2 ** 31),
     );
@@ -93,7 +93,7 @@
 
   private cancel(processId: number, key: number): void {
     for (const session of this.sessions) {
-      if (session.isNamedBy(processId, key)) session.cancel();
+      if (session.hasCancelKey(processId, key)) session.cancel();
     }
   }
 }
--- a/src/standin/node/group_member.ts
+++ b/src/standin/node/group_member.ts
@@ -10,55 +10,58 @@
 } from '../../schema/generated/announcement';
 import type {ReplicationBatch} from '../../schema/generated/replication';
 import {DatabaseError, READ_ONLY} from '../common/database_error';
-import {GroupLog, type GroupEntry} from '../common/group_log';
+import {GroupLog, type LogEntry} from '../common/group_log';
 import {TableStore, type RowOperation} from '../common/tables';
 import type {Transaction} from '../common/transaction';
 import type {Upstream} from './upstream';
 
-/** Who a member is; fixed for its process. */
+/** Identity and addresses of a member, fixed while its process runs. */
 export interface MemberIdentity {
   readonly service: string;
   readonly instance: string;
   readonly site: string;
   readonly incarnation: IncarnationId;
-  /** Where callers connect, as host:port. */
+  /** Address for callers, as host:port. */
   readonly address: string;
-  /** Where replicas attach, as host:port. */
+  /** Address for replicas, as host:port. */
   readonly replicationAddress: string;
 }
 
-/** Delays that tests and loads set while the member runs. */
+/** Simulated delays, adjustable while the member runs. */
 export interface MemberDelays {
-  /** Before an entry counts as received. */
+  /** Delay before an entry counts as received. */
   receiveMs: number;
-  /** From receiving an entry to applying it. */
+  /** Delay between receiving and applying an entry. */
   applyMs: number;
 }
 
-/** Opens a stream from a primary. */
+/** Opens replication streams from a primary. */
 export interface UpstreamFactory {
   connect(address: string, term: number, member: GroupMember): Upstream;
 }
 
 /**
- * One database member: its log, tables, role and term. Replication is
- * asynchronous: a commit is answered before any replica has it.
+ * A database member with its log, tables, role and term. Replication is
+ * asynchronous: a commit returns before any replica has received it.
  */
 export class GroupMember implements AnnouncedTarget {
   readonly log = new GroupLog();
   readonly store = new TableStore();
   readonly delays: MemberDelays = {receiveMs: 0, applyMs: 0};
-  leaving = false;
-  executed = 0;
-  committed = 0;
+  isLeaving = false;
+  executedCount = 0;
+  committedCount = 0;
   private term = 0;
   private matchedTerm = 0;
   private logTerm = 0;
   private role = Role.ROLE_REPLICA;
-  private applied = 0;
+  private lastAppliedOffset = 0;
   private upstream: Upstream | undefined;
   private catchUpOffset = 0;
-  private waiting: {readonly entry: GroupEntry; readonly dueAt: number}[] = [];
+  private unappliedEntries: {
+    readonly entry: LogEntry;
+    readonly dueAt: number;
+  }[] = [];
   private readonly listeners = new Set<() => void>();
 
   constructor(
@@ -76,10 +79,10 @@
   }
 
   get appliedOffset(): number {
-    return this.applied;
+    return this.lastAppliedOffset;
   }
 
-  /** Calls back after each change of what the member would announce. */
+  /** Notifies a listener of each status change; returns its disposer. */
   onDidChange(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
@@ -99,28 +102,28 @@
       term: this.term,
       matchedTerm: this.matchedTerm,
       logTerm: this.logTerm,
-      received: this.log.last,
-      appliedOffset: this.applied,
+      received: this.log.lastPosition,
+      appliedOffset: this.lastAppliedOffset,
       upstreamConnected: this.upstream?.connected ?? false,
-      leaving: this.leaving,
+      leaving: this.isLeaving,
     };
   }
 
-  /** Commits a transaction; the position after it. */
+  /** Commits a transaction and returns its position in the log. */
   commit(transaction: Transaction): Position {
-    if (!this.isPrimary) throw readOnly();
-    const operations = transaction.operations();
+    if (!this.isPrimary) throw readOnlyError();
+    const operations = transaction.buildOperations();
     const offset = this.log.lastOffset + 1;
     this.log.append({offset, term: this.term, operations});
-    this.applyEntry(this.log.after(offset - 1, 1)[0]!);
-    this.committed++;
-    this.changed();
+    this.applyEntry(this.log.readAfter(offset - 1, 1)[0]!);
+    this.committedCount++;
+    this.notifyListeners();
     return {term: this.term, offset};
   }
 
   execute(order: Order): OrderResult {
-    const refusal = this.act(order);
-    this.changed();
+    const refusal = this.performAction(order);
+    this.notifyListeners();
     return {
       orderId: order.orderId,
       accepted: refusal === undefined,
@@ -129,19 +132,21 @@
     };
   }
 
-  // ---- Replication, called by the upstream ----
+  // ---- Replication; called by the upstream ----
 
-  /** The first batch: drops what the primary does not have. */
-  onMatched(keepOffset: number, endOffset: number): void {
-    this.waiting = this.waiting.filter(({entry}) => entry.offset <= keepOffset);
+  /** Truncates the log to what the primary has when the stream starts. */
+  onAttached(keepOffset: number, endOffset: number): void {
+    this.unappliedEntries = this.unappliedEntries.filter(
+      ({entry}) => entry.offset <= keepOffset,
+    );
     if (keepOffset < this.log.lastOffset) {
       this.log.truncateAfter(keepOffset);
-      if (this.applied > keepOffset) this.rebuild(keepOffset);
+      if (this.lastAppliedOffset > keepOffset) this.rebuildTables(keepOffset);
     }
     this.logTerm = this.term;
     this.catchUpOffset = endOffset;
-    this.markMatched();
-    this.changed();
+    this.updateMatchedTerm();
+    this.notifyListeners();
   }
 
   onEntries(batch: ReplicationBatch): void {
@@ -150,29 +155,29 @@
       const parsed = JSON.parse(operations) as RowOperation[];
       const entry = {offset, term, operations: parsed};
       this.log.append(entry);
-      this.waiting.push({entry, dueAt});
+      this.unappliedEntries.push({entry, dueAt});
     }
-    this.markMatched();
-    this.applyDue();
-    this.changed();
+    this.updateMatchedTerm();
+    this.applyDueEntries();
+    this.notifyListeners();
   }
 
-  onUpstreamChange(): void {
-    this.changed();
+  notifyChange(): void {
+    this.notifyListeners();
   }
 
-  /** Applies what has waited long enough. */
-  applyDue(): void {
+  /** Applies the entries whose simulated delay has passed. */
+  applyDueEntries(): void {
     const now = this.clock.now();
-    let changed = false;
-    while (this.waiting[0] && this.waiting[0].dueAt <= now) {
-      this.applyEntry(this.waiting.shift()!.entry);
-      changed = true;
+    let hasApplied = false;
+    while (this.unappliedEntries[0] && this.unappliedEntries[0].dueAt <= now) {
+      this.applyEntry(this.unappliedEntries.shift()!.entry);
+      hasApplied = true;
     }
-    if (changed) this.changed();
+    if (hasApplied) this.notifyListeners();
   }
 
-  private act({action}: Order): string | undefined {
+  private performAction({action}: Order): string | undefined {
     const term = action?.value.term ?? 0;
     if (term < this.term) return `term ${this.term} was promised`;
     switch (action?.$case) {
@@ -196,8 +201,8 @@
   private promote(term: number): string | undefined {
     if (this.isPrimary && term === this.term) return undefined;
     this.stepDown(term);
-    for (const {entry} of this.waiting) this.applyEntry(entry);
-    this.waiting = [];
+    for (const {entry} of this.unappliedEntries) this.applyEntry(entry);
+    this.unappliedEntries = [];
     this.role = Role.ROLE_PRIMARY;
     this.matchedTerm = term;
     this.logTerm = term;
@@ -219,29 +224,30 @@
   }
 
   /**
-   * Counts as matched only once all that the primary had at the start is
-   * here: a member that lost its data may have confirmed any of it before.
+   * Reports the term as matched only after receiving every entry that the
+   * primary had when the stream started: a member that lost its data may have
+   * confirmed any of these entries before.
    */
-  private markMatched(): void {
+  private updateMatchedTerm(): void {
     if (this.log.lastOffset >= this.catchUpOffset) this.matchedTerm = this.term;
   }
 
-  private rebuild(offset: number): void {
+  private rebuildTables(offset: number): void {
     this.store.clear();
-    this.applied = 0;
-    for (const entry of this.log.after(0, offset)) this.applyEntry(entry);
+    this.lastAppliedOffset = 0;
+    for (const entry of this.log.readAfter(0, offset)) this.applyEntry(entry);
   }
 
-  private applyEntry({offset, operations}: GroupEntry): void {
+  private applyEntry({offset, operations}: LogEntry): void {
     this.store.apply(offset, operations);
-    this.applied = offset;
+    this.lastAppliedOffset = offset;
   }
 
-  private changed(): void {
+  private notifyListeners(): void {
     for (const listener of this.listeners) listener();
   }
 }
 
-export function readOnly(): DatabaseError {
+export function readOnlyError(): DatabaseError {
   return new DatabaseError(READ_ONLY, 'this member is not the primary');
 }
--- a/src/standin/node/main.ts
+++ b/src/standin/node/main.ts
@@ -22,7 +22,7 @@
 import {Slots} from './slots';
 import {GrpcUpstreams} from './upstream';
 
-const APPLY_TICK_MS = 5;
+const APPLY_INTERVAL_MS = 5;
 
 interface Arguments {
   readonly service: string;
@@ -45,7 +45,7 @@
   const log = createLog('standin');
   const address = parseAddress(args.listen);
   if (!address) {
-    fail(EXIT_USAGE, [`--listen ${args.listen}: host:port is allowed`]);
+    fail(EXIT_USAGE, [`--listen ${args.listen}: expected host:port`]);
   }
   const signal = stopSignal();
   const identity: MemberIdentity = {
@@ -60,23 +60,23 @@
   const member = new GroupMember(identity, upstreams, new MonotonicClock());
   member.delays.receiveMs = args.receiveDelayMs;
   member.delays.applyMs = args.applyLagMs;
-  every(signal, APPLY_TICK_MS, () => member.applyDue());
+  every(signal, APPLY_INTERVAL_MS, () => member.applyDueEntries());
 
-  const links = createServer();
+  const replicationServer = createServer();
   const replication = new ReplicationService(member, signal);
-  links.addService(ReplicationDefinition, replication.handlers);
-  const linked = await listen(links, args.replication, signal);
-  if (linked.isErr) fail(EXIT_UNAVAILABLE, [linked.error.message]);
+  replicationServer.addService(ReplicationDefinition, replication.handlers);
+  const listening = await listen(replicationServer, args.replication, signal);
+  if (listening.isErr) fail(EXIT_UNAVAILABLE, [listening.error.message]);
 
-  const host = {
+  const dependencies = {
     member,
     grammar: await PostgresGrammar.load(),
     slots: new Slots(args.slots),
     statementCostMs: args.statementCostMs,
-    setting: (name: string, value: string) => applySetting(member, name, value),
+    trySet: (name: string, value: string) => applySetting(member, name, value),
   };
-  const server = new DatabaseServer(host, args, signal);
-  await server.listen(address.port, address.host);
+  const databaseServer = new DatabaseServer(dependencies, args, signal);
+  await databaseServer.listen(address.port, address.host);
   const announcers = args.announce
     .split(',')
     .filter(text => text !== '')
@@ -104,8 +104,8 @@
       member.delays.receiveMs = Number(value);
       return true;
     case 'member.leaving':
-      member.leaving = value === 'on' || value === 'true';
-      member.onUpstreamChange();
+      member.isLeaving = value === 'on' || value === 'true';
+      member.notifyChange();
       return true;
     default:
       return false;
@@ -115,29 +115,33 @@
 const program = command({
   name: 'bulrushstage-standin',
   version: VERSION,
-  description: 'A stand-in database member for development and tests.',
+  description: 'Stand-in database member for development and tests.',
   args: {
-    service: textOption('service', 'name of the group'),
+    service: textOption('service', 'name of the service'),
     instance: textOption('instance', 'name of this member'),
-    site: textOption('site', 'site it stands in'),
+    site: textOption('site', 'site of this member'),
     listen: textOption('listen', 'host:port for callers'),
     replication: textOption('replication', 'host:port for replicas'),
-    announce: textOption('announce', 'host:port list to announce to', ''),
-    slots: numberOption('slots', 'transactions at once', 2),
-    connections: numberOption('connections', 'connections at once', 16),
+    announce: textOption('announce', 'observers as host:port,host:port', ''),
+    slots: numberOption('slots', 'maximum concurrent transactions', 2),
+    connections: numberOption('connections', 'maximum open connections', 16),
     connectionCostMs: numberOption(
       'connection-cost-ms',
-      'cost of opening one',
+      'duration of connecting',
       0,
     ),
     statementCostMs: numberOption(
       'statement-cost-ms',
-      'cost of a statement',
+      'duration of a statement',
       0,
     ),
-    receiveDelayMs: numberOption('receive-delay-ms', 'delay of replication', 0),
-    applyLagMs: numberOption('apply-lag-ms', 'lag of applying', 0),
-    jsonLogs: flag({long: 'json-logs', description: 'log lines as JSON'}),
+    receiveDelayMs: numberOption(
+      'receive-delay-ms',
+      'delay before receiving',
+      0,
+    ),
+    applyLagMs: numberOption('apply-lag-ms', 'delay before applying', 0),
+    jsonLogs: flag({long: 'json-logs', description: 'write logs as JSON'}),
   },
   handler: main,
 });
--- a/src/standin/node/member_tables.ts
+++ b/src/standin/node/member_tables.ts
@@ -3,7 +3,7 @@
   formatPosition,
   ORIGIN_POSITION,
 } from '../../services/position/common/position';
-import type {Source} from '../common/select';
+import type {RowSource} from '../common/select';
 import type {TableColumn} from '../common/tables';
 import type {GroupMember} from './group_member';
 
@@ -21,18 +21,18 @@
   {name: 'value', type: 'number'},
 ];
 
-/** Tables that show a member's own state. */
-export function memberTable(
+/** Returns the virtual table that shows a part of a member's state. */
+export function findMemberTable(
   name: string,
   member: GroupMember,
-): Source | undefined {
+): RowSource | undefined {
   if (name === 'group_status') {
     return {columns: STATUS_COLUMNS, rows: [statusRow(member)]};
   }
   if (name !== 'group_statistics') return undefined;
   const rows = [
-    {name: 'executed', value: member.executed},
-    {name: 'committed', value: member.committed},
+    {name: 'executed', value: member.executedCount},
+    {name: 'committed', value: member.committedCount},
   ];
   return {columns: STATISTICS_COLUMNS, rows};
 }
--- a/src/standin/node/replication_service.ts
+++ b/src/standin/node/replication_service.ts
@@ -6,24 +6,24 @@
   ReplicationRequest,
   ReplicationServer,
 } from '../../schema/generated/replication';
-import type {GroupEntry} from '../common/group_log';
+import type {LogEntry} from '../common/group_log';
 import type {GroupMember} from './group_member';
 
-const MOST_ENTRIES_A_BATCH = 256;
-const HEARTBEAT_MS = 50;
+const MAX_BATCH_ENTRIES = 256;
+const HEARTBEAT_INTERVAL_MS = 50;
 
 type Stream = ServerWritableStream<ReplicationRequest, ReplicationBatch>;
 
-/** The primary's end of replication streams. */
+/** Streams the primary's log to its replicas. */
 export class ReplicationService {
-  private readonly attached = new Set<AttachedReplica>();
+  private readonly replicas = new Set<AttachedReplica>();
 
   constructor(
     private readonly member: GroupMember,
     signal: AbortSignal,
   ) {
-    member.onDidChange(() => this.pushAll());
-    every(signal, HEARTBEAT_MS, () => this.heartbeat());
+    member.onDidChange(() => this.scheduleAll());
+    every(signal, HEARTBEAT_INTERVAL_MS, () => this.sendHeartbeats());
   }
 
   get handlers(): ReplicationServer {
@@ -32,7 +32,7 @@
 
   private accept(stream: Stream): void {
     const {term, marks} = stream.request;
-    if (!this.leads(term)) {
+    if (!this.isPrimaryInTerm(term)) {
       stream.emit('error', {
         code: status.FAILED_PRECONDITION,
         details: 'not the primary of this term',
@@ -41,39 +41,39 @@
     }
     const {log} = this.member;
     const replica = new AttachedReplica(stream, term, this.member);
-    this.attached.add(replica);
-    const onEnd = () => this.attached.delete(replica);
+    this.replicas.add(replica);
+    const onEnd = () => this.replicas.delete(replica);
     stream.on('cancelled', onEnd);
     stream.on('error', onEnd);
     stream.on('close', onEnd);
-    replica.begin(log.commonOffset(marks));
+    replica.start(log.commonOffset(marks));
   }
 
-  private leads(term: number): boolean {
+  private isPrimaryInTerm(term: number): boolean {
     return this.member.isPrimary && this.member.currentTerm === term;
   }
 
-  private pushAll(): void {
-    for (const replica of this.attached) {
-      if (this.leads(replica.term)) replica.push();
+  private scheduleAll(): void {
+    for (const replica of this.replicas) {
+      if (this.isPrimaryInTerm(replica.term)) replica.scheduleSend();
       else this.detach(replica);
     }
   }
 
-  private heartbeat(): void {
-    for (const replica of this.attached) replica.heartbeat();
+  private sendHeartbeats(): void {
+    for (const replica of this.replicas) replica.sendHeartbeat();
   }
 
   private detach(replica: AttachedReplica): void {
-    this.attached.delete(replica);
+    this.replicas.delete(replica);
     replica.end();
   }
 }
 
-/** One replica's place in the primary's log. */
+/** The stream to one replica, with the offset sent so far. */
 class AttachedReplica {
-  private sent = 0;
-  private pushing = false;
+  private sentOffset = 0;
+  private isSendScheduled = false;
 
   constructor(
     private readonly stream: Stream,
@@ -81,24 +81,24 @@
     private readonly member: GroupMember,
   ) {}
 
-  begin(keepOffset: number): void {
-    this.sent = keepOffset;
+  start(keepOffset: number): void {
+    this.sentOffset = keepOffset;
     const endOffset = this.member.log.lastOffset;
     this.write({keepOffset, endOffset, first: true});
-    this.push();
+    this.scheduleSend();
   }
 
-  /** Sends what is new; commits at one time make one batch. */
-  push(): void {
-    if (this.pushing) return;
-    this.pushing = true;
+  /** Schedules sending new entries; batches commits of one loop turn. */
+  scheduleSend(): void {
+    if (this.isSendScheduled) return;
+    this.isSendScheduled = true;
     setImmediate(() => {
-      this.pushing = false;
-      this.sendNew();
+      this.isSendScheduled = false;
+      this.sendNewEntries();
     });
   }
 
-  heartbeat(): void {
+  sendHeartbeat(): void {
     this.write({});
   }
 
@@ -106,14 +106,14 @@
     this.stream.end();
   }
 
-  private sendNew(): void {
+  private sendNewEntries(): void {
     if (this.stream.cancelled || this.stream.destroyed) return;
     const {log, isPrimary, currentTerm} = this.member;
     if (!isPrimary || currentTerm !== this.term) return;
     for (;;) {
-      const entries = log.after(this.sent, MOST_ENTRIES_A_BATCH);
+      const entries = log.readAfter(this.sentOffset, MAX_BATCH_ENTRIES);
       if (entries.length === 0) return;
-      this.sent += entries.length;
+      this.sentOffset += entries.length;
       this.write({entries: entries.map(encodeEntry)});
     }
   }
@@ -130,6 +130,6 @@
   }
 }
 
-function encodeEntry({offset, term, operations}: GroupEntry): ReplicatedEntry {
+function encodeEntry({offset, term, operations}: LogEntry): ReplicatedEntry {
   return {offset, term, operations: JSON.stringify(operations)};
 }
--- a/src/standin/node/session.ts
+++ b/src/standin/node/session.ts
@@ -50,22 +50,22 @@
   type StatementContext,
 } from '../common/statements';
 import {Transaction} from '../common/transaction';
-import {readOnly, type GroupMember} from './group_member';
-import {memberTable} from './member_tables';
+import {readOnlyError, type GroupMember} from './group_member';
+import {findMemberTable} from './member_tables';
 import type {Slots} from './slots';
 
 const REFUSED_ENCRYPTION = Buffer.from('N');
-const ROWS_A_WRITE = 64;
+const ROWS_PER_WRITE = 64;
 
-/** What all sessions of a member share. */
-export interface SessionHost {
+/** Services and limits that all sessions of a member share. */
+export interface SessionDependencies {
   readonly member: GroupMember;
   readonly grammar: SqlGrammar;
   readonly slots: Slots;
-  /** Time that each statement takes, in milliseconds. */
+  /** Simulated duration of each statement, in milliseconds. */
   readonly statementCostMs: number;
-  /** Sets one of the member's own settings; false where there is none. */
-  setting(name: string, value: string): boolean;
+  /** Sets a setting of the member; returns false if the name is unknown. */
+  trySet(name: string, value: string): boolean;
 }
 
 interface PreparedStatement {
@@ -76,32 +76,32 @@
   readonly parameters: readonly (string | null)[];
 }
 
-/** One caller's session at a stand-in database member. */
+/** A PostgreSQL protocol session on a stand-in member. */
 export class Session {
   private status: TransactionStatus = 'idle';
   private transaction: Transaction | undefined;
   private holdsSlot = false;
-  private failedUntilSync = false;
+  private skipsUntilSync = false;
   private transactionCount = 0;
-  private canceled = new AbortController();
+  private controller = new AbortController();
   private readonly variables = new Map<string, string>();
   private readonly statements = new Map<string, PreparedStatement>();
   private readonly portals = new Map<string, Portal>();
 
   constructor(
     private readonly connection: FrameConnection,
-    private readonly host: SessionHost,
+    private readonly dependencies: SessionDependencies,
     private readonly processId: number,
     private readonly secret: number,
   ) {}
 
-  /** Whether a cancel request with this key is for this session. */
-  isNamedBy(processId: number, secret: number): boolean {
+  /** Whether a cancel request with this key addresses this session. */
+  hasCancelKey(processId: number, secret: number): boolean {
     return processId === this.processId && secret === this.secret;
   }
 
   cancel(): void {
-    this.canceled.abort();
+    this.controller.abort();
   }
 
   static refuseEncryption(connection: FrameConnection): void {
@@ -109,44 +109,44 @@
   }
 
   *run(): Task<void> {
-    this.greet();
+    this.sendStartupResponse();
     for (;;) {
-      const incoming = yield* this.connection.receive();
-      if (!incoming) break;
-      if (!(yield* this.handle(incoming))) break;
+      const input = yield* this.connection.receive();
+      if (!input) break;
+      if (!(yield* this.handleInput(input))) break;
       yield* this.connection.waitForDrain();
     }
     this.endTransaction();
     this.connection.end();
   }
 
-  private greet(): void {
-    const {connection, host} = this;
+  private sendStartupResponse(): void {
+    const {connection, dependencies} = this;
     connection.send(AUTHENTICATION_OK);
     connection.send(encodeParameterStatus('server_version', '16.0'));
     connection.send(encodeParameterStatus('client_encoding', 'UTF8'));
     connection.send(encodeParameterStatus('DateStyle', 'ISO, MDY'));
     connection.send(encodeParameterStatus('integer_datetimes', 'on'));
     connection.send(encodeParameterStatus('standard_conforming_strings', 'on'));
-    const {incarnation} = host.member.identity;
+    const {incarnation} = dependencies.member.identity;
     connection.send(encodeParameterStatus('group_incarnation', incarnation));
     connection.send(encodeBackendKeyData(this.processId, this.secret));
     connection.send(encodeReadyForQuery('idle'));
   }
 
-  private *handle(incoming: ConnectionInput): Task<boolean> {
-    if (incoming.kind !== 'frame') return false;
-    const message = decodeFrontend(incoming.frame);
+  private *handleInput(input: ConnectionInput): Task<boolean> {
+    if (input.kind !== 'frame') return false;
+    const message = decodeFrontend(input.frame);
     if (!message) return false;
     if (message.kind === 'terminate') return false;
     this.connection.cork();
     try {
       yield* this.handleMessage(message);
     } catch (error) {
-      this.fail(asDatabaseError(error));
-      const ends = message.kind === 'query' || message.kind === 'sync';
-      if (ends) this.ready();
-      else this.failedUntilSync = true;
+      this.failStatement(asDatabaseError(error));
+      const endsBatch = message.kind === 'query' || message.kind === 'sync';
+      if (endsBatch) this.sendReady();
+      else this.skipsUntilSync = true;
     }
     this.connection.uncork();
     return true;
@@ -154,7 +154,7 @@
 
   private *handleMessage(message: FrontendMessage): Task<void> {
     if (message.kind === 'sync') return this.onSync();
-    if (this.failedUntilSync) return;
+    if (this.skipsUntilSync) return;
     switch (message.kind) {
       case 'query':
         return yield* this.onQuery(message.text);
@@ -179,17 +179,17 @@
   }
 
   private onSync(): void {
-    this.failedUntilSync = false;
+    this.skipsUntilSync = false;
     if (this.status === 'idle') this.commitIfOpen();
-    this.ready();
+    this.sendReady();
   }
 
-  private ready(): void {
+  private sendReady(): void {
     if (this.status === 'idle') this.endTransaction();
     this.connection.send(encodeReadyForQuery(this.status));
   }
 
-  private fail(error: DatabaseError): void {
+  private failStatement(error: DatabaseError): void {
     const {code, message} = error;
     this.connection.send(encodeError({severity: 'ERROR', code, message}));
     this.transaction = undefined;
@@ -203,47 +203,47 @@
     const statements = this.parse(text);
     if (statements.length === 0) this.connection.send(EMPTY_QUERY);
     for (const statement of statements) {
-      yield* this.execute(statement, [], true);
+      yield* this.executeStatement(statement, [], true);
     }
     if (this.status === 'idle') this.commitIfOpen();
-    this.ready();
+    this.sendReady();
   }
 
   // ---- Extended query ----
 
   private onParse(name: string, text: string): void {
-    const [statement, another] = this.parse(text);
-    if (another) throw new DatabaseError(SYNTAX_ERROR, 'several statements');
+    const [statement, extra] = this.parse(text);
+    if (extra) throw new DatabaseError(SYNTAX_ERROR, 'several statements');
     this.statements.set(name, {statement});
     this.connection.send(PARSE_COMPLETE);
   }
 
   private onBind(message: FrontendMessage & {kind: 'bind'}): void {
-    const prepared = this.prepared(message.statement);
+    const prepared = this.findPrepared(message.statement);
     const parameters = decodeParameters(message.rest);
     this.portals.set(message.portal, {...prepared, parameters});
     this.connection.send(BIND_COMPLETE);
   }
 
-  private onDescribe(of: 'statement' | 'portal', name: string): void {
-    if (of === 'portal') {
-      this.sendColumns(this.portal(name).statement);
+  private onDescribe(objectKind: 'statement' | 'portal', name: string): void {
+    if (objectKind === 'portal') {
+      this.sendRowDescription(this.findPortal(name).statement);
       return;
     }
-    const {statement} = this.prepared(name);
-    const count = highestParameter(statement?.node);
+    const {statement} = this.findPrepared(name);
+    const count = countParameters(statement?.node);
     const types = Array.from({length: count}, () => TYPE_TEXT);
     this.connection.send(encodeParameterDescription(types));
-    this.sendColumns(statement);
+    this.sendRowDescription(statement);
   }
 
   private *onExecute(portalName: string): Task<void> {
-    const {statement, parameters} = this.portal(portalName);
-    if (statement) yield* this.execute(statement, parameters, false);
+    const {statement, parameters} = this.findPortal(portalName);
+    if (statement) yield* this.executeStatement(statement, parameters, false);
     else this.connection.send(EMPTY_QUERY);
   }
 
-  private prepared(name: string): PreparedStatement {
+  private findPrepared(name: string): PreparedStatement {
     const prepared = this.statements.get(name);
     if (prepared) return prepared;
     throw new DatabaseError(
@@ -252,89 +252,92 @@
     );
   }
 
-  private portal(name: string): Portal {
+  private findPortal(name: string): Portal {
     const portal = this.portals.get(name);
     if (portal) return portal;
     throw new DatabaseError('34000', `portal "${name}" does not exist`);
   }
 
-  private sendColumns(statement: ParsedStatement | undefined): void {
+  private sendRowDescription(statement: ParsedStatement | undefined): void {
     const columns =
       statement &&
-      isPlain(statement) &&
-      describeStatement(statement, this.context([], this.current()));
+      isDataStatement(statement) &&
+      describeStatement(
+        statement,
+        this.createContext([], this.ensureTransaction()),
+      );
     if (columns) this.connection.send(encodeRowDescription(columns));
     else this.connection.send(NO_DATA);
   }
 
-  // ---- Running ----
+  // ---- Execution ----
 
-  private *execute(
+  private *executeStatement(
     statement: ParsedStatement,
     parameters: readonly (string | null)[],
-    describe: boolean,
+    describes: boolean,
   ): Task<void> {
     const {type, node} = statement;
     if (type === 'TransactionStmt') {
-      return yield* this.control(String(node['kind']));
+      return yield* this.runTransactionCommand(String(node['kind']));
     }
     if (this.status === 'failed') {
       const message = 'current transaction is aborted';
       throw new DatabaseError(FAILED_TRANSACTION, message);
     }
-    if (type === 'VariableSetStmt') return this.set(statement);
-    if (type === 'VariableShowStmt') return this.show(node, describe);
-    if (type === 'DiscardStmt') return this.discard();
-    yield* this.takeSlot();
-    yield* this.spend(statement);
-    const {member} = this.host;
-    if (isWrite(statement) && !member.isPrimary) throw readOnly();
-    member.executed++;
-    const context = this.context(parameters, this.current());
-    const {tag, answer} = runStatement(statement, context);
-    if (!answer) return this.complete(tag);
-    if (describe) this.connection.send(encodeRowDescription(answer.columns));
-    const count = yield* this.sendRows(answer.rows);
-    this.complete(tag === 'SELECT' ? `SELECT ${count}` : tag);
+    if (type === 'VariableSetStmt') return this.runSet(statement);
+    if (type === 'VariableShowStmt') return this.runShow(node, describes);
+    if (type === 'DiscardStmt') return this.runDiscard();
+    yield* this.acquireSlot();
+    yield* this.delayStatement(statement);
+    const {member} = this.dependencies;
+    if (isWrite(statement) && !member.isPrimary) throw readOnlyError();
+    member.executedCount++;
+    const context = this.createContext(parameters, this.ensureTransaction());
+    const {tag, result} = runStatement(statement, context);
+    if (!result) return this.sendComplete(tag);
+    if (describes) this.connection.send(encodeRowDescription(result.columns));
+    const count = yield* this.sendRows(result.rows);
+    this.sendComplete(tag === 'SELECT' ? `SELECT ${count}` : tag);
   }
 
   private *sendRows(rows: Iterable<readonly (string | null)[]>): Task<number> {
     let count = 0;
-    let waiting: Buffer[] = [];
+    let buffered: Buffer[] = [];
     for (const row of rows) {
-      waiting.push(encodeDataRow(row));
+      buffered.push(encodeDataRow(row));
       count++;
-      if (count % ROWS_A_WRITE !== 0) continue;
-      const keepsUp = this.connection.send(Buffer.concat(waiting));
-      waiting = [];
-      if (keepsUp) continue;
+      if (count % ROWS_PER_WRITE !== 0) continue;
+      const canSendMore = this.connection.send(Buffer.concat(buffered));
+      buffered = [];
+      if (canSendMore) continue;
       this.connection.uncork();
       yield* this.connection.waitForDrain();
       this.connection.cork();
-      if (this.canceled.signal.aborted) throw canceled();
+      if (this.controller.signal.aborted) throw cancellationError();
       if (this.connection.closedSignal.aborted) break;
     }
-    this.connection.send(Buffer.concat(waiting));
+    this.connection.send(Buffer.concat(buffered));
     return count;
   }
 
-  private *control(kind: string): Task<void> {
+  private *runTransactionCommand(kind: string): Task<void> {
     if (kind === 'TRANS_STMT_BEGIN' || kind === 'TRANS_STMT_START') {
-      yield* this.takeSlot();
+      yield* this.acquireSlot();
       if (this.status === 'idle') this.status = 'open';
-      return this.complete('BEGIN');
+      return this.sendComplete('BEGIN');
     }
-    const failed = this.status === 'failed';
+    const hasFailed = this.status === 'failed';
     this.status = 'idle';
-    if (kind === 'TRANS_STMT_COMMIT' && !failed) {
+    if (kind === 'TRANS_STMT_COMMIT' && !hasFailed) {
       this.commitIfOpen();
-      return this.complete('COMMIT');
+      return this.sendComplete('COMMIT');
     }
     this.transaction = undefined;
-    this.complete('ROLLBACK');
+    this.sendComplete('ROLLBACK');
   }
 
-  private set({node}: ParsedStatement): void {
+  private runSet({node}: ParsedStatement): void {
     const name = String(node['name'] ?? '');
     const argument = listOf(node, 'args')[0];
     const value = String(constantOf(argument) ?? '');
@@ -342,32 +345,32 @@
       const message = 'invalid value for parameter "DateStyle"';
       throw new DatabaseError(INVALID_PARAMETER, message);
     }
-    if (!this.host.setting(name, value)) this.variables.set(name, value);
-    this.complete(node['kind'] === 'VAR_RESET_ALL' ? 'RESET' : 'SET');
+    if (!this.dependencies.trySet(name, value)) this.variables.set(name, value);
+    this.sendComplete(node['kind'] === 'VAR_RESET_ALL' ? 'RESET' : 'SET');
   }
 
-  private show(node: SyntaxNode, describe: boolean): void {
+  private runShow(node: SyntaxNode, describes: boolean): void {
     const name = String(node['name']);
     const columns = [{name, type: TYPE_TEXT}];
-    if (describe) this.connection.send(encodeRowDescription(columns));
+    if (describes) this.connection.send(encodeRowDescription(columns));
     const value = this.variables.get(name) ?? '';
     this.connection.send(encodeDataRow([value]));
-    this.complete('SHOW');
+    this.sendComplete('SHOW');
   }
 
-  private discard(): void {
+  private runDiscard(): void {
     this.variables.clear();
     this.statements.clear();
-    this.complete('DISCARD ALL');
+    this.sendComplete('DISCARD ALL');
   }
 
-  private complete(tag: string): void {
+  private sendComplete(tag: string): void {
     this.connection.send(encodeCommandComplete(tag));
   }
 
-  private current(): Transaction {
+  private ensureTransaction(): Transaction {
     if (!this.transaction) {
-      const {store, identity} = this.host.member;
+      const {store, identity} = this.dependencies.member;
       const id = `${identity.incarnation}.${this.processId}.${++this.transactionCount}`;
       this.transaction = new Transaction(store, id);
     }
@@ -378,61 +381,61 @@
     const transaction = this.transaction;
     this.transaction = undefined;
     if (!transaction?.hasWrites) return;
-    const position = this.host.member.commit(transaction);
+    const position = this.dependencies.member.commit(transaction);
     const text = formatPosition(position);
     this.connection.send(encodeParameterStatus('group_position', text));
   }
 
-  /** A transaction holds one of the member's slots until it ends. */
-  private *takeSlot(): Task<void> {
+  /** Acquires a slot, which the transaction holds until it ends. */
+  private *acquireSlot(): Task<void> {
     if (this.holdsSlot) return;
-    if (this.canceled.signal.aborted) this.canceled = new AbortController();
+    if (this.controller.signal.aborted) this.controller = new AbortController();
     const signal = AbortSignal.any([
-      this.canceled.signal,
+      this.controller.signal,
       this.connection.closedSignal,
     ]);
-    const taken = yield* settled(this.host.slots.acquire(signal));
-    if ('value' in taken && taken.value) this.holdsSlot = true;
-    else throw canceled();
+    const acquired = yield* settled(this.dependencies.slots.acquire(signal));
+    if ('value' in acquired && acquired.value) this.holdsSlot = true;
+    else throw cancellationError();
   }
 
-  private *spend(statement: ParsedStatement): Task<void> {
-    const cost = this.host.statementCostMs + sleepOf(statement);
-    if (cost <= 0) return;
+  private *delayStatement(statement: ParsedStatement): Task<void> {
+    const durationMs = this.dependencies.statementCostMs + sleepMsOf(statement);
+    if (durationMs <= 0) return;
     this.connection.uncork();
-    const {signal} = this.canceled;
-    const slept = yield* settled(sleep(cost, undefined, {signal}));
+    const {signal} = this.controller;
+    const slept = yield* settled(sleep(durationMs, undefined, {signal}));
     this.connection.cork();
-    if ('error' in slept) throw canceled();
+    if ('error' in slept) throw cancellationError();
   }
 
   private endTransaction(): void {
     this.transaction = undefined;
     if (!this.holdsSlot) return;
     this.holdsSlot = false;
-    this.host.slots.release();
+    this.dependencies.slots.release();
   }
 
-  private context(
+  private createContext(
     parameters: readonly (string | null)[],
     transaction: Transaction,
   ): StatementContext {
     return {
       transaction,
       parameters,
-      wallTime: Date.now(),
-      virtualTable: name => memberTable(name, this.host.member),
+      wallTimeMs: Date.now(),
+      findVirtualTable: name => findMemberTable(name, this.dependencies.member),
     };
   }
 
   private parse(text: string): readonly ParsedStatement[] {
-    const parsed = this.host.grammar.parse(text);
+    const parsed = this.dependencies.grammar.parse(text);
     if (!('message' in parsed)) return parsed;
     throw new DatabaseError(SYNTAX_ERROR, parsed.message);
   }
 }
 
-function canceled(): DatabaseError {
+function cancellationError(): DatabaseError {
   const message = 'canceling statement due to user request';
   return new DatabaseError(QUERY_CANCELED, message);
 }
@@ -442,14 +445,14 @@
   throw error;
 }
 
-function isPlain({type}: ParsedStatement): boolean {
+function isDataStatement({type}: ParsedStatement): boolean {
   return ['SelectStmt', 'InsertStmt', 'UpdateStmt', 'DeleteStmt'].includes(
     type,
   );
 }
 
-/** Seconds of a pg_sleep in the select list, as milliseconds. */
-function sleepOf({type, node}: ParsedStatement): number {
+/** Returns the duration of a leading pg_sleep call, in milliseconds. */
+function sleepMsOf({type, node}: ParsedStatement): number {
   if (type !== 'SelectStmt') return 0;
   const [, target] = unwrapNode(listOf(node, 'targetList')[0]);
   const [callType, call] = unwrapNode(target['val']);
@@ -458,7 +461,7 @@
   return Number(constantOf(listOf(call, 'args')[0])) * 1_000;
 }
 
-function highestParameter(node: unknown): number {
+function countParameters(node: unknown): number {
   const text = JSON.stringify(node ?? {});
   const numbers = [...text.matchAll(/"ParamRef":\{"number":(\d+)/g)];
   return Math.max(0, ...numbers.map(([, number]) => Number(number)));
@@ -466,11 +469,11 @@
 
 function decodeParameters(rest: Buffer): (string | null)[] {
   const reader = new BodyReader(rest);
-  const formats = reader.int16() ?? 0;
-  for (let at = 0; at < formats; at++) reader.int16();
+  const formatCount = reader.int16() ?? 0;
+  for (let index = 0; index < formatCount; index++) reader.int16();
   const count = reader.int16() ?? 0;
   const values: (string | null)[] = [];
-  for (let at = 0; at < count; at++) {
+  for (let index = 0; index < count; index++) {
     const length = reader.int32() ?? -1;
     const bytes = length < 0 ? undefined : reader.bytes(length);
     values.push(bytes ? bytes.toString() : null);
--- a/src/standin/node/slots.ts
+++ b/src/standin/node/slots.ts
@@ -1,36 +1,36 @@
-/** A bounded number of places that waiters get in their order. */
+/** A counting semaphore that serves waiters in order of arrival. */
 export class Slots {
-  private free: number;
+  private freeCount: number;
   private readonly waiters: (() => void)[] = [];
 
   constructor(count: number) {
-    this.free = count;
+    this.freeCount = count;
   }
 
-  /** Resolves with a place; false where the signal aborted first. */
+  /** Resolves to true with a slot, or to false if the signal aborts first. */
   acquire(signal: AbortSignal): Promise<boolean> {
     if (signal.aborted) return Promise.resolve(false);
-    if (this.free > 0) {
-      this.free--;
+    if (this.freeCount > 0) {
+      this.freeCount--;
       return Promise.resolve(true);
     }
     return new Promise(resolve => {
-      const waiter = () => {
-        signal.removeEventListener('abort', leave);
+      const onAcquired = () => {
+        signal.removeEventListener('abort', onAbort);
         resolve(true);
       };
-      const leave = () => {
-        this.waiters.splice(this.waiters.indexOf(waiter), 1);
+      const onAbort = () => {
+        this.waiters.splice(this.waiters.indexOf(onAcquired), 1);
         resolve(false);
       };
-      this.waiters.push(waiter);
-      signal.addEventListener('abort', leave, {once: true});
+      this.waiters.push(onAcquired);
+      signal.addEventListener('abort', onAbort, {once: true});
     });
   }
 
   release(): void {
     const next = this.waiters.shift();
     if (next) next();
-    else this.free++;
+    else this.freeCount++;
   }
 }
--- a/src/standin/node/upstream.ts
+++ b/src/standin/node/upstream.ts
@@ -7,17 +7,17 @@
 } from '../../schema/generated/replication';
 import type {GroupMember, UpstreamFactory} from './group_member';
 
-const RECONNECT_MS = 100;
-/** A primary that sends nothing for this long counts as gone. */
-const SILENCE_MS = 250;
+const RECONNECT_DELAY_MS = 100;
+/** A stream without a message for this long counts as disconnected. */
+const TIMEOUT_MS = 250;
 
-/** A replica's stream from its primary. */
+/** A replica's replication stream from its primary. */
 export interface Upstream {
   readonly connected: boolean;
   close(): void;
 }
 
-/** Opens streams over gRPC; all end with the signal. */
+/** Opens replication streams over gRPC; the signal closes them all. */
 export class GrpcUpstreams implements UpstreamFactory {
   constructor(private readonly signal: AbortSignal) {}
 
@@ -31,7 +31,7 @@
   private readonly client;
   private readonly controller;
   private stream: ClientReadableStream<ReplicationBatch> | undefined;
-  private heardAt = 0;
+  private receivedAt = 0;
 
   constructor(
     address: string,
@@ -47,8 +47,8 @@
       LINK_OPTIONS,
     );
     signal.addEventListener('abort', () => this.client.close());
-    every(signal, SILENCE_MS / 4, () => this.checkSilence());
-    this.open();
+    every(signal, TIMEOUT_MS / 4, () => this.checkTimeout());
+    this.openStream();
   }
 
   close(): void {
@@ -57,27 +57,27 @@
     this.controller.abort();
   }
 
-  private open(): void {
+  private openStream(): void {
     const {signal} = this.controller;
     if (signal.aborted) return;
-    const marks = this.member.log.marks();
+    const marks = this.member.log.termMarks();
     const stream = this.client.stream({term: this.term, marks});
     this.stream = stream;
     stream.on('data', (batch: ReplicationBatch) => {
-      this.afterDelay(() => this.onBatch(stream, batch));
+      this.runAfterDelay(() => this.onBatch(stream, batch));
     });
     let ended = false;
     const onEnd = () => {
       if (ended) return;
       ended = true;
       if (this.stream === stream) this.setConnected(false);
-      after(signal, RECONNECT_MS, () => this.open());
+      after(signal, RECONNECT_DELAY_MS, () => this.openStream());
     };
     stream.on('error', onEnd);
     stream.on('end', onEnd);
   }
 
-  private afterDelay(callback: () => void): void {
+  private runAfterDelay(callback: () => void): void {
     const {receiveMs} = this.member.delays;
     if (receiveMs > 0) after(this.controller.signal, receiveMs, callback);
     else callback();
@@ -88,20 +88,20 @@
     batch: ReplicationBatch,
   ): void {
     if (this.controller.signal.aborted || this.stream !== stream) return;
-    this.heardAt = Date.now();
-    if (batch.first) this.member.onMatched(batch.keepOffset, batch.endOffset);
+    this.receivedAt = Date.now();
+    if (batch.first) this.member.onAttached(batch.keepOffset, batch.endOffset);
     if (batch.entries.length > 0) this.member.onEntries(batch);
     this.setConnected(true);
   }
 
-  private checkSilence(): void {
-    if (!this.connected || Date.now() - this.heardAt < SILENCE_MS) return;
+  private checkTimeout(): void {
+    if (!this.connected || Date.now() - this.receivedAt < TIMEOUT_MS) return;
     this.setConnected(false);
   }
 
   private setConnected(connected: boolean): void {
     if (this.connected === connected) return;
     this.connected = connected;
-    this.member.onUpstreamChange();
+    this.member.notifyChange();
   }
 }
