--- a/src/load/common/plan.ts
+++ b/src/load/common/plan.ts
@@ -1,17 +1,17 @@
 import type {SeededRandom} from '../../base/common/random';
 
-/** Requests of one class by one caller, at a rate that waits for nobody. */
+/** An open-loop load: requests of one class sent by one caller. */
 export interface LoadClass {
   readonly name: string;
   readonly caller: string;
   readonly kind: 'read' | 'write';
-  /** Requests a second. */
+  /** Mean requests per second, whether or not earlier ones have completed. */
   readonly rate: number;
-  /** Sessions that share the requests. */
+  /** Number of sessions that share the requests. */
   readonly sessions: number;
 }
 
-/** Reads `name:caller:kind:rate:sessions`; undefined where it is not that. */
+/** Parses `name:caller:kind:rate:sessions`; undefined if it is invalid. */
 export function parseLoadClass(text: string): LoadClass | undefined {
   const [name = '', caller = '', kind, rate, sessions] = text.split(':');
   if (name === '' || caller === '') return undefined;
@@ -21,8 +21,8 @@
   return {name, caller, kind, ...numbers};
 }
 
-/** Times of arrival within a duration, in milliseconds, as Poisson has them. */
-export function arrivals(
+/** Draws the arrival times of a Poisson process, as milliseconds from start. */
+export function arrivalTimes(
   rate: number,
   durationMs: number,
   random: SeededRandom,
--- a/src/load/node/load_client.ts
+++ b/src/load/node/load_client.ts
@@ -18,18 +18,19 @@
 const ERROR = typeByteOf('E');
 const READY = typeByteOf('Z');
 
-/** How a statement ended for a caller. */
-export interface StatementEnd {
-  /** The SQLSTATE of an error, '' for none, 'lost' with the connection. */
+/** The outcome of a statement as its caller sees it. */
+export interface StatementOutcome {
+  /** SQLSTATE of the error, '' on success, 'lost' if the connection closed. */
   readonly code: string;
+  /** The first column of each row. */
   readonly firstValues: readonly string[];
 }
 
-/** A caller of the proxy: one statement at a time. */
+/** A proxy connection that runs one statement at a time. */
 export class LoadClient implements AnswerListener {
   private code = '';
-  private values: string[] = [];
-  private resolve: ((end: StatementEnd) => void) | undefined;
+  private firstValues: string[] = [];
+  private resolvePending: ((outcome: StatementOutcome) => void) | undefined;
 
   private constructor(private readonly connection: TargetConnection) {
     connection.setListener(this);
@@ -47,14 +48,14 @@
     return this.connection.isClosed;
   }
 
-  query(text: string): Promise<StatementEnd> {
+  query(text: string): Promise<StatementOutcome> {
     if (this.isClosed) {
       return Promise.resolve({code: 'lost', firstValues: []});
     }
     this.code = '';
-    this.values = [];
+    this.firstValues = [];
     return new Promise(resolve => {
-      this.resolve = resolve;
+      this.resolvePending = resolve;
       this.connection.send(serialize.query(text));
     });
   }
@@ -68,18 +69,18 @@
       if (frame.type === ERROR) {
         this.code = decodeDiagnostic(bodyOf(frame)).code;
       }
-      if (frame.type === DATA_ROW) this.values.push(firstValueOf(frame));
-      if (frame.type === READY) this.finish(this.code);
+      if (frame.type === DATA_ROW) this.firstValues.push(firstValueOf(frame));
+      if (frame.type === READY) this.complete(this.code);
     }
   }
 
   onDidClose(): void {
-    this.finish('lost');
+    this.complete('lost');
   }
 
-  private finish(code: string): void {
-    this.resolve?.({code, firstValues: this.values});
-    this.resolve = undefined;
+  private complete(code: string): void {
+    this.resolvePending?.({code, firstValues: this.firstValues});
+    this.resolvePending = undefined;
   }
 }
 
--- a/src/load/node/load_run.ts
+++ b/src/load/node/load_run.ts
@@ -1,13 +1,13 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 import {SeededRandom} from '../../base/common/random';
-import {arrivals, type LoadClass} from '../common/plan';
+import {arrivalTimes, type LoadClass} from '../common/plan';
 import {LoadClient} from './load_client';
 
 export const LOAD_TABLE = 'bulrush_load';
 const TIMELINE_STEP_MS = 100;
-const REOPEN_MS = 50;
+const RECONNECT_DELAY_MS = 50;
 
-/** What a run is made of. */
+/** Proxies, load and duration of a run. */
 export interface LoadPlan {
   readonly proxies: readonly string[];
   readonly service: string;
@@ -16,7 +16,7 @@
   readonly seed: number;
 }
 
-/** What became of the requests of one class. */
+/** Outcomes and latencies of one class's requests. */
 export interface ClassReport {
   readonly name: string;
   readonly caller: string;
@@ -29,22 +29,22 @@
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly maxMs: number;
-  /** The longest time without a completed request, in milliseconds. */
+  /** Longest interval without a completed request, in milliseconds. */
   readonly gapMs: number;
-  /** Completed requests in each tenth of a second. */
+  /** Completed requests in each interval of 100 ms. */
   readonly timeline: readonly number[];
 }
 
-/** What a whole run came to. */
+/** Results of a run: load per class and violated guarantees. */
 export interface LoadReport {
   readonly seed: number;
   readonly seconds: number;
   readonly classes: readonly ClassReport[];
-  /** Writes that were done and are not there. */
+  /** Number of acknowledged writes that are not stored. */
   readonly lost: number;
-  /** Writes that are there more than once. */
+  /** Number of writes that are stored more than once. */
   readonly doubled: number;
-  /** Writes that were called not run and are there. */
+  /** Number of writes that were reported as not run but are stored. */
   readonly returned: number;
 }
 
@@ -58,51 +58,50 @@
   readonly notRunIds: string[] = [];
   readonly timeline: number[];
   gapMs = 0;
-  private readonly waiting: {readonly id: string; readonly dueAt: number}[] =
-    [];
+  private readonly queue: {readonly id: string; readonly dueAt: number}[] = [];
   private lastDoneAt = 0;
-  private stopped = false;
+  private isStopped = false;
   private sequence = 0;
 
   constructor(
-    readonly load: LoadClass,
+    readonly loadClass: LoadClass,
     private readonly plan: LoadPlan,
-    private readonly prefix: string,
+    private readonly idPrefix: string,
     private readonly signal: AbortSignal,
   ) {
     const steps = Math.ceil((plan.seconds * 1_000) / TIMELINE_STEP_MS);
     this.timeline = Array.from({length: steps}, () => 0);
   }
 
-  /** Offers requests at their times, whether or not earlier ones are done. */
-  async run(startedAt: number): Promise<void> {
-    const {rate, sessions, name, caller} = this.load;
+  /** Queues requests at their arrival times without awaiting earlier ones. */
+  async run(runStartedAt: number): Promise<void> {
+    const {rate, sessions, name, caller} = this.loadClass;
     const random = new SeededRandom(
-      hash(`${this.plan.seed} ${name} ${caller}`),
+      hashText(`${this.plan.seed} ${name} ${caller}`),
     );
-    const times = arrivals(rate, this.plan.seconds * 1_000, random);
-    this.lastDoneAt = startedAt;
-    const workers = Array.from({length: sessions}, (...[, at]) => {
-      return this.work(at, startedAt);
+    const times = arrivalTimes(rate, this.plan.seconds * 1_000, random);
+    this.lastDoneAt = runStartedAt;
+    const workers = Array.from({length: sessions}, (...[, index]) => {
+      return this.runWorker(index, runStartedAt);
     });
-    let next = 0;
-    while (next < times.length) {
-      const now = performance.now() - startedAt;
-      while (next < times.length && times[next]! <= now) {
-        const id = `${this.prefix}-${name}-${caller}-${this.sequence++}`;
+    let nextIndex = 0;
+    while (nextIndex < times.length) {
+      const elapsedMs = performance.now() - runStartedAt;
+      while (nextIndex < times.length && times[nextIndex]! <= elapsedMs) {
+        const id = `${this.idPrefix}-${name}-${caller}-${this.sequence++}`;
         this.counts.offered++;
-        this.waiting.push({id, dueAt: startedAt + times[next]!});
-        next++;
+        this.queue.push({id, dueAt: runStartedAt + times[nextIndex]!});
+        nextIndex++;
       }
       await pause(1);
     }
-    this.stopped = true;
+    this.isStopped = true;
     await Promise.all(workers);
   }
 
-  report(): ClassReport {
-    const {name, caller, kind} = this.load;
-    const at = (percentile: number) => {
+  createReport(): ClassReport {
+    const {name, caller, kind} = this.loadClass;
+    const latencyMsAt = (percentile: number) => {
       return this.latency.getValueAtPercentile(percentile) / 1_000;
     };
     return {
@@ -110,52 +109,55 @@
       caller,
       kind,
       ...this.counts,
-      p50Ms: at(50),
-      p99Ms: at(99),
+      p50Ms: latencyMsAt(50),
+      p99Ms: latencyMsAt(99),
       maxMs: this.latency.maxValue / 1_000,
       gapMs: this.gapMs,
       timeline: this.timeline,
     };
   }
 
-  private async work(at: number, startedAt: number): Promise<void> {
+  private async runWorker(
+    workerIndex: number,
+    runStartedAt: number,
+  ): Promise<void> {
     const {proxies, service} = this.plan;
-    const {name, caller: user} = this.load;
+    const {name, caller: user} = this.loadClass;
     const options = `-c bulrush.class=${name}`;
-    let proxy = at;
+    let proxyIndex = workerIndex;
     let client: LoadClient | undefined;
     for (;;) {
-      const request = this.waiting.shift();
-      if (!request && this.stopped) break;
+      const request = this.queue.shift();
+      if (!request && this.isStopped) break;
       if (!request) {
         await pause(1);
         continue;
       }
       while (!client || client.isClosed) {
-        const address = proxies[proxy++ % proxies.length]!;
+        const address = proxies[proxyIndex++ % proxies.length]!;
         const login = {address, user, database: service, options};
         const opened = await LoadClient.open(login, this.signal);
         if (opened.isOk) client = opened.value;
-        else await pause(REOPEN_MS);
+        else await pause(RECONNECT_DELAY_MS);
       }
-      const {code} = await client.query(this.statement(request.id));
-      this.note(request.id, request.dueAt, code, startedAt);
+      const {code} = await client.query(this.createStatement(request.id));
+      this.recordOutcome(request.id, request.dueAt, code, runStartedAt);
     }
     client?.close();
   }
 
-  private statement(id: string): string {
-    if (this.load.kind === 'read') {
+  private createStatement(id: string): string {
+    if (this.loadClass.kind === 'read') {
       return `SELECT count(*) FROM ${LOAD_TABLE} WHERE id = 'first'`;
     }
     return `INSERT INTO ${LOAD_TABLE} (id) VALUES ('${id}')`;
   }
 
-  private note(
+  private recordOutcome(
     id: string,
     dueAt: number,
     code: string,
-    startedAt: number,
+    runStartedAt: number,
   ): void {
     const now = performance.now();
     const {counts} = this;
@@ -168,73 +170,75 @@
       return;
     }
     counts.done++;
-    if (this.load.kind === 'write') this.doneIds.push(id);
+    if (this.loadClass.kind === 'write') this.doneIds.push(id);
     this.latency.recordValue(Math.max(0, Math.round((now - dueAt) * 1_000)));
     this.gapMs = Math.max(this.gapMs, now - this.lastDoneAt);
     this.lastDoneAt = now;
-    const step = Math.floor((now - startedAt) / TIMELINE_STEP_MS);
+    const step = Math.floor((now - runStartedAt) / TIMELINE_STEP_MS);
     if (step < this.timeline.length) this.timeline[step]!++;
   }
 }
 
-/** Runs a load and checks afterwards what became of each write. */
+/** Runs a load, then compares the stored rows with each write's outcome. */
 export async function runLoad(
   plan: LoadPlan,
   signal: AbortSignal,
 ): Promise<LoadReport> {
-  await prepare(plan, signal);
-  const prefix = `r${Date.now().toString(36)}`;
-  const runs = plan.classes.map(load => {
-    return new ClassRun(load, plan, prefix, signal);
+  await createTable(plan, signal);
+  const idPrefix = `r${Date.now().toString(36)}`;
+  const runs = plan.classes.map(loadClass => {
+    return new ClassRun(loadClass, plan, idPrefix, signal);
   });
   const startedAt = performance.now();
   await Promise.all(runs.map(run => run.run(startedAt)));
-  const found = await readBack(plan, signal);
+  const storedCounts = await countStoredWrites(plan, signal);
   const done = runs.flatMap(({doneIds}) => doneIds);
   const notRun = runs.flatMap(({notRunIds}) => notRunIds);
   return {
     seed: plan.seed,
     seconds: plan.seconds,
-    classes: runs.map(run => run.report()),
-    lost: done.filter(id => !found.has(id)).length,
-    doubled: [...found.values()].filter(count => count > 1).length,
-    returned: notRun.filter(id => found.has(id)).length,
+    classes: runs.map(run => run.createReport()),
+    lost: done.filter(id => !storedCounts.has(id)).length,
+    doubled: [...storedCounts.values()].filter(count => count > 1).length,
+    returned: notRun.filter(id => storedCounts.has(id)).length,
   };
 }
 
-async function prepare(plan: LoadPlan, signal: AbortSignal): Promise<void> {
-  const client = await openAny(plan, signal);
+async function createTable(plan: LoadPlan, signal: AbortSignal): Promise<void> {
+  const client = await connectToAnyProxy(plan, signal);
   await client.query(`CREATE TABLE IF NOT EXISTS ${LOAD_TABLE} (id text)`);
   await client.query(`INSERT INTO ${LOAD_TABLE} (id) VALUES ('first')`);
   client.close();
 }
 
-async function readBack(
+async function countStoredWrites(
   plan: LoadPlan,
   signal: AbortSignal,
 ): Promise<Map<string, number>> {
-  const client = await openAny(plan, signal);
+  const client = await connectToAnyProxy(plan, signal);
   const {firstValues} = await client.query(`SELECT id FROM ${LOAD_TABLE}`);
   client.close();
-  const found = new Map<string, number>();
-  for (const id of firstValues) found.set(id, (found.get(id) ?? 0) + 1);
-  found.delete('first');
-  return found;
+  const counts = new Map<string, number>();
+  for (const id of firstValues) counts.set(id, (counts.get(id) ?? 0) + 1);
+  counts.delete('first');
+  return counts;
 }
 
-async function openAny(
+async function connectToAnyProxy(
   {proxies, service}: LoadPlan,
   signal: AbortSignal,
 ): Promise<LoadClient> {
-  for (let at = 0; ; at++) {
-    const address = proxies[at % proxies.length]!;
+  for (let attempt = 0; ; attempt++) {
+    const address = proxies[attempt % proxies.length]!;
     const login = {address, user: 'load', database: service};
     const opened = await LoadClient.open(login, signal);
     if (opened.isOk) return opened.value;
-    if (signal.aborted || at > 200) {
-      throw new Error(`no proxy answers: ${JSON.stringify(opened.error)}`);
+    if (signal.aborted || attempt > 200) {
+      throw new Error(
+        `could not connect to any proxy: ${JSON.stringify(opened.error)}`,
+      );
     }
-    await pause(REOPEN_MS);
+    await pause(RECONNECT_DELAY_MS);
   }
 }
 
@@ -242,8 +246,8 @@
   return new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
-/** A seed from a text, by FNV-1a. */
-function hash(text: string): number {
+/** Derives a seed from a text with FNV-1a. */
+function hashText(text: string): number {
   let value = 0x811c9dc5;
   for (const byte of Buffer.from(text)) {
     value = Math.imul(value ^ byte, 0x01000193) >>> 0;
--- a/src/load/node/main.ts
+++ b/src/load/node/main.ts
@@ -6,7 +6,7 @@
 import {runLoad} from './load_run';
 import {renderReport} from './report_page';
 
-const EXIT_PROMISE_BROKEN = 2;
+const EXIT_GUARANTEE_VIOLATED = 2;
 
 interface Arguments {
   readonly proxies: string;
@@ -19,7 +19,7 @@
 }
 
 async function main(args: Arguments): Promise<void> {
-  const classes = args.classes.map(checkedClass);
+  const classes = args.classes.map(requireLoadClass);
   const report = await runLoad(
     {
       proxies: args.proxies.split(','),
@@ -34,47 +34,51 @@
   if (args.json === '') console.log(text);
   else writeFileSync(args.json, `${text}\n`);
   if (args.html !== '') writeFileSync(args.html, renderReport(report));
-  const broken = report.lost + report.doubled + report.returned > 0;
-  process.exit(broken ? EXIT_PROMISE_BROKEN : 0);
+  const isViolated = report.lost + report.doubled + report.returned > 0;
+  process.exit(isViolated ? EXIT_GUARANTEE_VIOLATED : 0);
 }
 
-function checkedClass(text: string): LoadClass {
-  const load = parseLoadClass(text);
-  if (load) return load;
-  const allowed = 'class:caller:read|write:rate:sessions';
-  return fail(EXIT_USAGE, [`--class ${text}: allowed: ${allowed}`]);
+function requireLoadClass(text: string): LoadClass {
+  const loadClass = parseLoadClass(text);
+  if (loadClass) return loadClass;
+  const format = 'class:caller:read|write:rate:sessions';
+  return fail(EXIT_USAGE, [`--class ${text}: expected ${format}`]);
 }
 
 const program = command({
   name: 'bulrushstage-load',
   version: VERSION,
   description:
-    'Open-loop load from a seed; exits with 2 where a promise was broken.',
+    'Runs a seeded open-loop load; exits with 2 if a guarantee was violated.',
   args: {
     proxies: textOption(
       'proxies',
-      'addresses of proxies, host:port with commas',
+      'addresses of the proxies as host:port,host:port',
     ),
-    service: textOption('service', 'service to load'),
+    service: textOption('service', 'service to send requests to'),
     classes: multioption({
       long: 'class',
       type: array(string),
-      description: 'class:caller:read|write:rate a second:sessions',
+      description: 'class:caller:read|write:rate per second:sessions',
     }),
     seconds: option({
       long: 'seconds',
       type: number,
       defaultValue: () => 10,
-      description: 'how long',
+      description: 'duration of the run in seconds',
     }),
     seed: option({
       long: 'seed',
       type: number,
       defaultValue: () => 1,
-      description: 'seed of the arrivals',
+      description: 'seed of the arrival times',
     }),
-    json: textOption('json', 'file for the report; else standard output', ''),
-    html: textOption('html', 'file for the report as a page', ''),
+    json: textOption(
+      'json',
+      'file for the report; default: standard output',
+      '',
+    ),
+    html: textOption('html', 'file for the report as an HTML page', ''),
   },
   handler: main,
 });
