--- a/bench/demo.ts
+++ b/bench/demo.ts
@@ -1,16 +1,16 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import pg from 'pg';
-import {Fleet, fetchJson, until} from './fleet/fleet';
+import {Fleet, fetchJson, waitUntil} from './fleet/fleet';
 
 const SERVICE = 'accounts';
-const READS = 200;
-const STATEMENT_MS = 4_000;
+const READ_COUNT = 200;
+const STATEMENT_TIMEOUT_MS = 4_000;
 
-/** Shows the whole path on loopback, step by step. */
+/** Demonstrates reads, writes and a failover on loopback. */
 async function main(): Promise<void> {
-  const stays = process.argv.includes('--stay');
+  const staysUp = process.argv.includes('--stay');
   const startedAt = Date.now();
-  const say = (text: string) => {
+  const print = (text: string) => {
     const seconds = ((Date.now() - startedAt) / 1_000).toFixed(2);
     console.log(`[${seconds.padStart(6)} s] ${text}`);
   };
@@ -27,15 +27,17 @@
   process.once('SIGINT', () => void stop());
   process.once('SIGTERM', () => void stop());
   try {
-    say('Starts 3 control, 3 proxies and one service of 3 members.');
+    print(
+      'Starting 3 control instances, 3 proxies and a service of 3 members.',
+    );
     fleet.startAll();
-    await fleet.ready();
-    await tour(fleet, say);
-    if (!stays) return;
+    await fleet.waitUntilReady();
+    await runSteps(fleet, print);
+    if (!staysUp) return;
     for (const {name, port} of fleet.proxies) {
       console.log(`${name}: postgres://demo@127.0.0.1:${port}/${SERVICE}`);
     }
-    console.log('Stays up; end it with Ctrl-C.');
+    console.log('Running until Ctrl-C.');
     await new Promise(() => {});
   } catch (error) {
     console.error(error);
@@ -46,60 +48,80 @@
   }
 }
 
-async function tour(fleet: Fleet, say: (text: string) => void): Promise<void> {
-  const first = await connect(fleet, 0);
+async function runSteps(
+  fleet: Fleet,
+  print: (text: string) => void,
+): Promise<void> {
+  const first = await connectToProxy(fleet, 0);
   await first.query('CREATE TABLE filings (id text PRIMARY KEY, state text)');
   await first.query("INSERT INTO filings VALUES ('f1', 'lodged')");
-  say('Wrote f1 through p1.');
+  print('Wrote f1 through p1.');
 
-  const second = await connect(fleet, 1, 'review');
-  const seen = await second.query("SELECT state FROM filings WHERE id = 'f1'");
-  check(seen.rows[0]?.state === 'lodged', 'read its own write through p2');
-  say('Read f1 through p2, which p1’s session never told anything.');
+  const second = await connectToProxy(fleet, 1, 'review');
+  const readBack = await second.query(
+    "SELECT state FROM filings WHERE id = 'f1'",
+  );
+  assertHolds(
+    readBack.rows[0]?.state === 'lodged',
+    'the session reads its own write through p2',
+  );
+  print('Read f1 through p2, without passing any state from p1.');
 
-  await reviews(fleet, second, say);
-  await failover(fleet, first, say);
-  const third = await connect(fleet, 2);
-  const all = await third.query('SELECT count(*) AS n FROM filings');
-  check(Number(all.rows[0]?.n) === 2, 'both writes are there exactly once');
-  say('Read both writes through p3: nothing lost, nothing doubled.');
+  await measureReplicaReads(fleet, second, print);
+  await runFailover(fleet, first, print);
+  const third = await connectToProxy(fleet, 2);
+  const total = await third.query('SELECT count(*) AS n FROM filings');
+  assertHolds(
+    Number(total.rows[0]?.n) === 2,
+    'both writes are stored exactly once',
+  );
+  print('Read both writes through p3; none was lost or duplicated.');
   await Promise.all([first.end(), second.end(), third.end()]);
 }
 
-async function reviews(
+async function measureReplicaReads(
   fleet: Fleet,
   client: pg.Client,
-  say: (text: string) => void,
+  print: (text: string) => void,
 ): Promise<void> {
-  const before = await outcomes(fleet, 1);
-  for (let count = 0; count < READS; count++) {
+  const outcomesBefore = await fetchOutcomes(fleet, 1);
+  for (let count = 0; count < READ_COUNT; count++) {
     await client.query('SELECT id, state FROM filings');
   }
-  const after = await outcomes(fleet, 1);
-  const served = after['replica within age'] ?? 0;
-  const share = (served - (before['replica within age'] ?? 0)) / READS;
-  say(`Replicas served ${(share * 100).toFixed(1)} % of ${READS} reviews.`);
+  const outcomesAfter = await fetchOutcomes(fleet, 1);
+  const replicaReadCount = outcomesAfter['replica within age'] ?? 0;
+  const replicaFraction =
+    (replicaReadCount - (outcomesBefore['replica within age'] ?? 0)) /
+    READ_COUNT;
+  print(
+    `Replicas served ${(replicaFraction * 100).toFixed(1)} % of ${READ_COUNT} reviews.`,
+  );
 }
 
-async function failover(
+async function runFailover(
   fleet: Fleet,
   client: pg.Client,
-  say: (text: string) => void,
+  print: (text: string) => void,
 ): Promise<void> {
   const {primary, term} = await fleet.primaryOf(SERVICE);
-  say(`Kills the primary ${primary} of term ${term}; nobody orders anything.`);
-  const lostAt = performance.now();
-  await fleet.target(primary).end('SIGKILL');
+  print(
+    `Killing the primary ${primary} of term ${term}; failover is automatic.`,
+  );
+  const killedAt = performance.now();
+  await fleet.target(primary).kill('SIGKILL');
   await client.query("SET bulrush.request_key = 'demo-f2'");
   await client.query("INSERT INTO filings VALUES ('f2', 'lodged')");
-  const gapMs = performance.now() - lostAt;
-  const now = await fleet.primaryOf(SERVICE);
-  say(`Wrote f2: ${now.primary} leads term ${now.term}.`);
-  say(`The failover gap was ${gapMs.toFixed(0)} ms.`);
-  await until(async () => (await fleet.primaryOf(SERVICE)).term > term, 'term');
+  const gapMs = performance.now() - killedAt;
+  const current = await fleet.primaryOf(SERVICE);
+  print(`Wrote f2; ${current.primary} is the primary of term ${current.term}.`);
+  print(`The failover gap was ${gapMs.toFixed(0)} ms.`);
+  await waitUntil(
+    async () => (await fleet.primaryOf(SERVICE)).term > term,
+    'the next term',
+  );
 }
 
-async function connect(
+async function connectToProxy(
   fleet: Fleet,
   proxy: number,
   requestClass = 'default',
@@ -110,7 +132,7 @@
     user: 'demo',
     database: SERVICE,
     options: `-c bulrush.class=${requestClass}`,
-    query_timeout: STATEMENT_MS,
+    query_timeout: STATEMENT_TIMEOUT_MS,
   });
   client.on('error', () => {});
   await client.connect();
@@ -118,7 +140,7 @@
   return client;
 }
 
-async function outcomes(
+async function fetchOutcomes(
   fleet: Fleet,
   proxy: number,
 ): Promise<Record<string, number>> {
@@ -127,8 +149,8 @@
   return (page as {outcomes: Record<string, number>}).outcomes;
 }
 
-function check(holds: boolean, what: string): void {
-  if (!holds) throw new Error(`not so: ${what}`);
+function assertHolds(holds: boolean, what: string): void {
+  if (!holds) throw new Error(`check failed: ${what}`);
 }
 
 void main();
--- a/bench/failover_gap.ts
+++ b/bench/failover_gap.ts
@@ -1,13 +1,13 @@
-import {Fleet, until, type FleetPlan} from './fleet/fleet';
+import {Fleet, waitUntil, type FleetPlan} from './fleet/fleet';
 import {runLoad, type LoadReport} from '../src/load/node/load_run';
 
 const SERVICE = 'bench';
-const REPEATS = Number(process.argv[2] ?? 5);
+const REPEAT_COUNT = Number(process.argv[2] ?? 5);
 const LOAD_SECONDS = 5;
 const FAULT_AFTER_MS = 1_200;
 
-/** Both users' sizes of a service; loopback, so without their latencies. */
-const USERS: Readonly<Record<string, Partial<FleetPlan>>> = {
+/** Service sizes of both users; loopback adds no network latency. */
+const PLANS_BY_USER: Readonly<Record<string, Partial<FleetPlan>>> = {
   derwent: {
     service: {slots: 2, connections: 16},
     standin: [
@@ -28,39 +28,39 @@
 
 const FAULTS: Readonly<Record<string, Fault>> = {
   kill: async (fleet, primary) => {
-    await fleet.target(primary).end();
+    await fleet.target(primary).kill();
   },
-  freeze: async (fleet, primary) => fleet.target(primary).signal('SIGSTOP'),
+  freeze: async (fleet, primary) => fleet.target(primary).sendSignal('SIGSTOP'),
 };
 
-/** The parts of one failover, in milliseconds. */
-interface Parts {
-  readonly detection: number;
-  readonly promotion: number;
-  readonly firstWrite: number;
-  readonly gap: number;
-  readonly share: number;
-  readonly broken: number;
+/** Durations and outcomes of one failover. */
+interface FailoverMeasurement {
+  readonly detectionMs: number;
+  readonly promotionMs: number;
+  readonly firstWriteMs: number;
+  readonly gapMs: number;
+  readonly servedReadFraction: number;
+  readonly violationCount: number;
 }
 
 async function main(): Promise<void> {
-  for (const [user, plan] of Object.entries(USERS)) {
+  for (const [user, plan] of Object.entries(PLANS_BY_USER)) {
     for (const [name, fault] of Object.entries(FAULTS)) {
-      const all: Parts[] = [];
-      for (let repeat = 0; repeat < REPEATS; repeat++) {
-        all.push(await once(plan, fault, repeat + 1));
+      const measurements: FailoverMeasurement[] = [];
+      for (let repeat = 0; repeat < REPEAT_COUNT; repeat++) {
+        measurements.push(await measureFailover(plan, fault, repeat + 1));
       }
-      report(user, name, all);
+      printReport(user, name, measurements);
     }
   }
   process.exit();
 }
 
-async function once(
+async function measureFailover(
   plan: Partial<FleetPlan>,
   fault: Fault,
   seed: number,
-): Promise<Parts> {
+): Promise<FailoverMeasurement> {
   const fleet = await Fleet.start({
     controls: 3,
     proxies: 3,
@@ -72,7 +72,7 @@
     await new Promise(resolve => setTimeout(resolve, 1_500));
     const {primary, term} = await fleet.primaryOf(SERVICE);
     let faultAt = 0;
-    const faulty = setTimeout(() => {
+    const faultTimer = setTimeout(() => {
       faultAt = Date.now();
       void fault(fleet, primary);
     }, FAULT_AFTER_MS);
@@ -89,39 +89,43 @@
       },
       new AbortController().signal,
     );
-    clearTimeout(faulty);
-    await until(async () => {
+    clearTimeout(faultTimer);
+    await waitUntil(async () => {
       return (await fleet.primaryOf(SERVICE)).term > term;
     }, 'a new primary');
-    return partsOf(fleet, faultAt, result);
+    return createMeasurement(fleet, faultAt, result);
   } finally {
     await fleet.stop();
   }
 }
 
-function partsOf(fleet: Fleet, faultAt: number, result: LoadReport): Parts {
+function createMeasurement(
+  fleet: Fleet,
+  faultAt: number,
+  result: LoadReport,
+): FailoverMeasurement {
   const log = fleet.controls.map(control => control.log).join('\n');
-  const begunAt = timeOf(log, 'Begins a change', faultAt);
-  const chosenAt = timeOf(log, 'Chooses a primary', faultAt);
+  const changeStartedAt = findLogTime(log, 'Begins a change', faultAt);
+  const primaryChosenAt = findLogTime(log, 'Chooses a primary', faultAt);
   const write = result.classes.find(({kind}) => kind === 'write')!;
-  const detection = begunAt - faultAt;
-  const promotion = chosenAt - begunAt;
-  const firstWrite = Math.max(0, write.gapMs - detection - promotion);
-  const broken = result.lost + result.doubled + result.returned;
+  const detectionMs = changeStartedAt - faultAt;
+  const promotionMs = primaryChosenAt - changeStartedAt;
+  const firstWriteMs = Math.max(0, write.gapMs - detectionMs - promotionMs);
+  const violationCount = result.lost + result.doubled + result.returned;
   const read = result.classes.find(({kind}) => kind === 'read')!;
-  const share = read.done / read.offered;
+  const servedReadFraction = read.done / read.offered;
   return {
-    detection,
-    promotion,
-    firstWrite,
-    gap: write.gapMs,
-    share,
-    broken,
+    detectionMs,
+    promotionMs,
+    firstWriteMs,
+    gapMs: write.gapMs,
+    servedReadFraction,
+    violationCount,
   };
 }
 
-/** The time of the first line with a sentence after a time. */
-function timeOf(log: string, sentence: string, after: number): number {
+/** Finds when a sentence is first logged at or after a moment. */
+function findLogTime(log: string, sentence: string, after: number): number {
   const times = log
     .split('\n')
     .filter(line => line.includes(sentence))
@@ -130,22 +134,33 @@
   return Math.min(...times);
 }
 
-function report(user: string, fault: string, all: readonly Parts[]): void {
-  const spread = (pick: (parts: Parts) => number) => {
-    const values = all.map(pick).sort((a, b) => a - b);
-    const middle = values[Math.floor(values.length / 2)]!;
-    const most = values.at(-1)!;
-    return `${middle.toFixed(0)} (most ${most.toFixed(0)})`;
+function printReport(
+  user: string,
+  fault: string,
+  measurements: readonly FailoverMeasurement[],
+): void {
+  const formatSpread = (
+    select: (measurement: FailoverMeasurement) => number,
+  ) => {
+    const values = measurements.map(select).sort((a, b) => a - b);
+    const median = values[Math.floor(values.length / 2)]!;
+    const max = values.at(-1)!;
+    return `${median.toFixed(0)} (max ${max.toFixed(0)})`;
   };
-  const broken = all.reduce((sum, parts) => sum + parts.broken, 0);
-  const served = Math.min(...all.map(({share}) => share));
+  const violationCount = measurements.reduce(
+    (sum, measurement) => sum + measurement.violationCount,
+    0,
+  );
+  const minServedFraction = Math.min(
+    ...measurements.map(({servedReadFraction}) => servedReadFraction),
+  );
   console.log(
-    `${user} ${fault}: gap ${spread(({gap}) => gap)} ms of ${all.length}; ` +
-      `detection ${spread(({detection}) => detection)}, ` +
-      `lease and promotion ${spread(({promotion}) => promotion)}, ` +
-      `first write ${spread(({firstWrite}) => firstWrite)}; ` +
-      `reads done at least ${(served * 100).toFixed(1)} %; ` +
-      `promises broken ${broken}`,
+    `${user} ${fault}: gap ${formatSpread(({gapMs}) => gapMs)} ms over ${measurements.length} runs; ` +
+      `detection ${formatSpread(({detectionMs}) => detectionMs)}, ` +
+      `lease and promotion ${formatSpread(({promotionMs}) => promotionMs)}, ` +
+      `first write ${formatSpread(({firstWriteMs}) => firstWriteMs)}; ` +
+      `reads done at least ${(minServedFraction * 100).toFixed(1)} %; ` +
+      `guarantees violated ${violationCount}`,
   );
 }
 
--- a/bench/fleet/fleet.ts
+++ b/bench/fleet/fleet.ts
@@ -4,34 +4,35 @@
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 import {setTimeout as sleep} from 'node:timers/promises';
-import {freePorts} from './ports';
+import {findFreePorts} from './ports';
 
-const READY_MS = 15_000;
-const POLL_MS = 25;
-const MOST_LOG_BYTES = 200_000;
+const READY_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 25;
+const MAX_LOG_LENGTH = 200_000;
 
-/** What a fleet is made of. */
+/** Composition of a fleet. */
 export interface FleetPlan {
   readonly controls: number;
   readonly proxies: number;
   readonly services: readonly string[];
   readonly members: number;
-  /** Lines for [system], [service.*], [class.*] and so on. */
+  /** Additional keys for the [system] section of the settings. */
   readonly system?: Readonly<Record<string, string | number>>;
+  /** Additional keys for each [service.*] section. */
   readonly service?: Readonly<Record<string, string | number>>;
-  /** Text of class sections. */
+  /** Text of the class sections; replaces the default classes. */
   readonly classes?: string;
-  /** Arguments that every stand-in gets. */
+  /** Additional arguments for every stand-in process. */
   readonly standin?: readonly string[];
-  /** Sites in turn for members and proxies. */
+  /** Sites, assigned to members and to proxies in turn. */
   readonly sites?: readonly string[];
-  /** Leaves out target processes: the test brings its own. */
+  /** False if the caller starts the target processes itself. */
   readonly startTargets?: boolean;
-  /** Addresses that targets are told instead, by observer's address. */
-  readonly reroute?: (address: string, target: string) => string;
+  /** Replaces an observer's address in the arguments of a target. */
+  readonly mapObserver?: (address: string, target: string) => string;
 }
 
-/** One process of a fleet. */
+/** A process of a fleet and its recent output. */
 export class FleetProcess {
   private child: ChildProcess | undefined;
   private output = '';
@@ -42,19 +43,19 @@
     private args: readonly string[],
   ) {}
 
-  /** Changes arguments before the process is started. */
-  rewrite(change: (argument: string) => string): void {
-    this.args = this.args.map(change);
+  /** Transforms the arguments for the next start of the process. */
+  mapArguments(transform: (argument: string) => string): void {
+    this.args = this.args.map(transform);
   }
 
   get log(): string {
     return this.output;
   }
 
-  /** The id of the process; throws while it does not run. */
+  /** Operating system process ID; throws if the process is not running. */
   get processId(): number {
     const id = this.child?.pid;
-    if (id === undefined) throw new Error(`${this.name} does not run`);
+    if (id === undefined) throw new Error(`${this.name} is not running`);
     return id;
   }
 
@@ -62,28 +63,32 @@
     return this.child !== undefined;
   }
 
-  start(extra: readonly string[] = []): void {
+  start(extraArgs: readonly string[] = []): void {
     const script = join('dist', `${this.program}.cjs`);
-    const child = spawn(process.execPath, [script, ...this.args, ...extra], {
-      stdio: ['ignore', 'pipe', 'pipe'],
-    });
-    const take = (chunk: Buffer) => {
-      this.output = (this.output + chunk.toString()).slice(-MOST_LOG_BYTES);
+    const child = spawn(
+      process.execPath,
+      [script, ...this.args, ...extraArgs],
+      {
+        stdio: ['ignore', 'pipe', 'pipe'],
+      },
+    );
+    const appendOutput = (chunk: Buffer) => {
+      this.output = (this.output + chunk.toString()).slice(-MAX_LOG_LENGTH);
     };
-    child.stdout.on('data', take);
-    child.stderr.on('data', take);
+    child.stdout.on('data', appendOutput);
+    child.stderr.on('data', appendOutput);
     child.on('exit', () => {
       if (this.child === child) this.child = undefined;
     });
     this.child = child;
   }
 
-  signal(name: NodeJS.Signals): void {
+  sendSignal(name: NodeJS.Signals): void {
     this.child?.kill(name);
   }
 
-  /** Ends the process and waits until it is gone; its exit code. */
-  async end(name: NodeJS.Signals = 'SIGKILL'): Promise<number | null> {
+  /** Signals the process, waits for its exit and returns its exit code. */
+  async kill(name: NodeJS.Signals = 'SIGKILL'): Promise<number | null> {
     const {child} = this;
     if (!child) return null;
     const exited = new Promise<number | null>(resolve => {
@@ -94,15 +99,15 @@
     return exited;
   }
 
-  /** The exit code, once the process ends by itself. */
-  async exited(): Promise<number | null> {
+  /** Waits until the process exits by itself; returns its exit code. */
+  async waitForExit(): Promise<number | null> {
     const {child} = this;
     if (!child) return null;
     return new Promise(resolve => child.once('exit', code => resolve(code)));
   }
 }
 
-/** A member of a group, with where it is reached. */
+/** A process that runs a member of a service. */
 export interface FleetTarget extends FleetProcess {
   readonly service: string;
   readonly port: number;
@@ -120,7 +125,7 @@
   }
 }
 
-/** A proxy, with where it is reached. */
+/** A proxy process and its ports. */
 export class ProxyProcess extends FleetProcess {
   constructor(
     name: string,
@@ -133,7 +138,7 @@
   }
 }
 
-/** A control instance, with where it is reached. */
+/** A control process with its port and data folder. */
 export class ControlProcess extends FleetProcess {
   constructor(
     name: string,
@@ -145,7 +150,7 @@
   }
 }
 
-/** Separate processes on loopback, all ended by id in the end. */
+/** A deployment of separate processes on loopback. */
 export class Fleet {
   readonly controls: ControlProcess[] = [];
   readonly proxies: ProxyProcess[] = [];
@@ -157,64 +162,66 @@
     private readonly plan: FleetPlan,
   ) {}
 
-  /** Lays out a fleet without starting it. */
+  /** Creates a fleet's settings and processes without starting them. */
   static async prepare(plan: FleetPlan): Promise<Fleet> {
     const folder = mkdtempSync(join(tmpdir(), 'bulrushstage-'));
     const targetCount = plan.services.length * plan.members;
-    const ports = await freePorts(
+    const ports = await findFreePorts(
       plan.controls + plan.proxies * 3 + targetCount * 2,
     );
     const next = () => ports.pop()!;
     const controlPorts = Array.from({length: plan.controls}, next);
-    const text = settingsText(plan, controlPorts);
+    const text = renderSettings(plan, controlPorts);
     const file = join(folder, 'settings.ini');
     writeFileSync(file, text);
     const fleet = new Fleet(folder, file, text, plan);
-    controlPorts.forEach((port, at) => fleet.addControl(`c${at + 1}`, port));
-    for (let at = 0; at < plan.proxies; at++) {
-      fleet.addProxy(`p${at + 1}`, at, [next(), next(), next()]);
+    controlPorts.forEach((port, index) =>
+      fleet.addControl(`c${index + 1}`, port),
+    );
+    for (let index = 0; index < plan.proxies; index++) {
+      fleet.addProxy(`p${index + 1}`, index, [next(), next(), next()]);
     }
     for (const service of plan.services) {
-      for (let at = 0; at < plan.members; at++) {
-        fleet.addTarget(service, at, next(), next());
+      for (let index = 0; index < plan.members; index++) {
+        fleet.addTarget(service, index, next(), next());
       }
     }
     return fleet;
   }
 
-  /** Lays out a fleet, starts it and waits until it serves. */
+  /** Creates and starts a fleet, then waits until it is ready. */
   static async start(plan: FleetPlan): Promise<Fleet> {
     const fleet = await Fleet.prepare(plan);
     fleet.startAll();
-    await fleet.ready();
+    await fleet.waitUntilReady();
     return fleet;
   }
 
   startAll(): void {
-    this.controls.forEach((control, at) => {
-      control.start(at === 0 ? ['--bootstrap'] : []);
+    this.controls.forEach((control, index) => {
+      control.start(index === 0 ? ['--bootstrap'] : []);
     });
     for (const proxy of this.proxies) proxy.start();
     if (this.plan.startTargets === false) return;
     for (const target of this.targets) target.start();
   }
 
-  /** Waits until every proxy serves a read of the primary. */
-  async ready(): Promise<void> {
+  /** Waits until every proxy knows a primary for every service. */
+  async waitUntilReady(): Promise<void> {
     for (const {statusPort} of this.proxies) {
-      await until(async () => {
-        const status = (await fetchJson(statusPort, '/status')) as ProxyPage;
+      await waitUntil(async () => {
+        const status = (await fetchJson(statusPort, '/status')) as ProxyStatus;
         return status.services.every(({primary}) => primary !== '');
       }, 'a primary at every proxy');
     }
   }
 
-  /** The names of a service's primary and term, as a proxy knows them. */
+  /** Returns a service's primary and term as a proxy reports them. */
   async primaryOf(
     service: string,
     proxy = this.proxies[0]!,
   ): Promise<{primary: string; term: number}> {
-    const page = (await fetchJson(proxy.statusPort, '/status')) as ProxyPage;
+    const page = (await fetchJson(proxy.statusPort, '/status')) as ProxyStatus;
     return page.services.find(({name}) => name === service)!;
   }
 
@@ -226,9 +233,9 @@
     return [...this.controls, ...this.proxies, ...this.targets];
   }
 
-  /** Ends every process and removes every file. */
+  /** Kills all processes and removes the fleet's files. */
   async stop(): Promise<void> {
-    await Promise.all(this.processes.map(process => process.end()));
+    await Promise.all(this.processes.map(process => process.kill()));
     rmSync(this.folder, {recursive: true, force: true});
   }
 
@@ -245,10 +252,10 @@
     this.controls.push(control);
   }
 
-  private addProxy(name: string, at: number, ports: number[]): void {
+  private addProxy(name: string, index: number, ports: number[]): void {
     const [port = 0, announcements = 0, status = 0] = ports;
     const overlay = join(this.folder, `${name}.ini`);
-    writeFileSync(overlay, `[proxy]\nsite = ${this.siteAt(at)}\n`);
+    writeFileSync(overlay, `[proxy]\nsite = ${this.siteAt(index)}\n`);
     const args = [
       '--settings',
       this.settingsFile,
@@ -257,11 +264,11 @@
       '--instance',
       name,
       '--listen',
-      local(port),
+      loopbackAddress(port),
       '--announcements',
-      local(announcements),
+      loopbackAddress(announcements),
       '--status',
-      local(status),
+      loopbackAddress(status),
     ];
     const proxy = new ProxyProcess(name, args, port, announcements, status);
     this.proxies.push(proxy);
@@ -269,26 +276,26 @@
 
   private addTarget(
     service: string,
-    at: number,
+    index: number,
     port: number,
     replicationPort: number,
   ): void {
-    const name = `${service}-${at + 1}`;
+    const name = `${service}-${index + 1}`;
     const observers = [
-      ...this.controls.map(control => local(control.port)),
-      ...this.proxies.map(proxy => local(proxy.announcementsPort)),
-    ].map(address => this.plan.reroute?.(address, name) ?? address);
+      ...this.controls.map(control => loopbackAddress(control.port)),
+      ...this.proxies.map(proxy => loopbackAddress(proxy.announcementsPort)),
+    ].map(address => this.plan.mapObserver?.(address, name) ?? address);
     const args = [
       '--service',
       service,
       '--instance',
       name,
       '--site',
-      this.siteAt(at),
+      this.siteAt(index),
       '--listen',
-      local(port),
+      loopbackAddress(port),
       '--replication',
-      local(replicationPort),
+      loopbackAddress(replicationPort),
       '--announce',
       observers.join(','),
       ...(this.plan.standin ?? []),
@@ -303,24 +310,26 @@
     this.targets.push(target);
   }
 
-  private siteAt(at: number): string {
+  private siteAt(index: number): string {
     const sites = this.plan.sites ?? ['site-a', 'site-b', 'site-c'];
-    return sites[at % sites.length]!;
+    return sites[index % sites.length]!;
   }
 }
 
-interface ProxyPage {
+interface ProxyStatus {
   readonly services: {name: string; primary: string; term: number}[];
   readonly outcomes: Record<string, number>;
 }
 
-function settingsText(plan: FleetPlan, controlPorts: number[]): string {
-  const control = controlPorts.map((port, at) => `c${at + 1}=${local(port)}`);
+function renderSettings(plan: FleetPlan, controlPorts: number[]): string {
+  const control = controlPorts.map(
+    (port, index) => `c${index + 1}=${loopbackAddress(port)}`,
+  );
   const lines = ['[system]', `control = ${control.join(', ')}`];
-  lines.push(...pairs(plan.system));
+  lines.push(...renderEntries(plan.system));
   for (const service of plan.services) {
     lines.push(`[service.${service}]`, `members = ${plan.members}`);
-    lines.push(...pairs({proxies: plan.proxies, ...plan.service}));
+    lines.push(...renderEntries({proxies: plan.proxies, ...plan.service}));
   }
   lines.push(plan.classes ?? DEFAULT_CLASSES);
   return `${lines.join('\n')}\n`;
@@ -334,39 +343,39 @@
 priority = 1
 `;
 
-function pairs(values: FleetPlan['system'] = {}): string[] {
+function renderEntries(values: FleetPlan['system'] = {}): string[] {
   return Object.entries(values).map(([key, value]) => `${key} = ${value}`);
 }
 
-function local(port: number): string {
+function loopbackAddress(port: number): string {
   return `127.0.0.1:${port}`;
 }
 
-/** Waits until a condition holds; errors count as not yet. */
-export async function until(
+/** Polls until a condition holds; an error counts as false. */
+export async function waitUntil(
   condition: () => Promise<boolean> | boolean,
-  what: string,
-  mostMs = READY_MS,
+  goal: string,
+  timeoutMs = READY_TIMEOUT_MS,
 ): Promise<void> {
-  const end = Date.now() + mostMs;
+  const endAt = Date.now() + timeoutMs;
   for (;;) {
     try {
       if (await condition()) return;
     } catch {
-      // Not yet there: asked again until the time is over.
+      // Retried until the timeout.
     }
-    if (Date.now() > end) throw new Error(`waited in vain for ${what}`);
-    await sleep(POLL_MS);
+    if (Date.now() > endAt) throw new Error(`timed out waiting for ${goal}`);
+    await sleep(POLL_INTERVAL_MS);
   }
 }
 
-/** A page of a proxy's status endpoint. */
+/** Fetches a JSON page from a proxy's status port. */
 export async function fetchJson(port: number, path: string): Promise<unknown> {
   const response = await fetch(`http://127.0.0.1:${port}${path}`);
   return response.json();
 }
 
-/** Whether something listens on a port of loopback. */
+/** Returns whether a loopback port accepts connections. */
 export function isListening(port: number): Promise<boolean> {
   return new Promise(resolve => {
     const socket = createConnection(port, '127.0.0.1');
--- a/bench/fleet/ports.ts
+++ b/bench/fleet/ports.ts
@@ -1,19 +1,19 @@
 import {createServer} from 'node:net';
 
-/** Below the range from which the system takes ports of outgoing links. */
+/** Below the ephemeral range, which outgoing connections use. */
 const FIRST_PORT = 20_000;
-const PORTS_A_WORKER = 700;
-const WORKERS = 16;
+const PORTS_PER_WORKER = 700;
+const WORKER_COUNT = 16;
 
-const worker = Number(process.env['VITEST_POOL_ID'] ?? 0) % WORKERS;
-let taken = Math.floor(Math.random() * PORTS_A_WORKER);
+const workerIndex = Number(process.env['VITEST_POOL_ID'] ?? 0) % WORKER_COUNT;
+let triedCount = Math.floor(Math.random() * PORTS_PER_WORKER);
 
-/** Ports on loopback that were free just now; workers do not share any. */
-export async function freePorts(count: number): Promise<number[]> {
+/** Finds free loopback ports; test workers use separate ranges. */
+export async function findFreePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
   while (ports.length < count) {
-    const offset = taken++ % PORTS_A_WORKER;
-    const port = FIRST_PORT + worker * PORTS_A_WORKER + offset;
+    const offset = triedCount++ % PORTS_PER_WORKER;
+    const port = FIRST_PORT + workerIndex * PORTS_PER_WORKER + offset;
     if (await isFree(port)) ports.push(port);
   }
   return ports;
--- a/bench/relay_cost.ts
+++ b/bench/relay_cost.ts
@@ -4,32 +4,32 @@
 import pg from 'pg';
 import {serialize} from 'pg-protocol';
 import {FrameDecoder, typeByteOf} from '../src/services/wire/common/frames';
-import {cpuTimeOf} from './fleet/cpu_time';
-import {Fleet, type ProxyProcess, isListening, until} from './fleet/fleet';
-import {freePorts} from './fleet/ports';
+import {cpuTimeMsOf} from './fleet/cpu_time';
+import {Fleet, type ProxyProcess, isListening, waitUntil} from './fleet/fleet';
+import {findFreePorts} from './fleet/ports';
 
 const SERVICE = 'bench';
-const CONNECTIONS = 32;
-const ROUND_MS = 2_500;
-const ROUNDS = 3;
+const CONNECTION_COUNT = 32;
+const ROUND_DURATION_MS = 2_500;
+const ROUND_COUNT = 3;
 const READY = typeByteOf('Z');
 const QUERY = "SELECT state FROM filings WHERE id = 'f1'";
 
-/** One way to the stand-in. */
-interface Way {
+/** A measured connection path to the stand-in database. */
+interface Path {
   readonly name: string;
   readonly port: number;
-  /** The process between client and stand-in, if there is one. */
+  /** Process between the client and the stand-in; undefined if direct. */
   readonly processId: number | undefined;
   cpuMs: number;
-  statements: number;
+  statementCount: number;
   readonly latency: Histogram;
   readonly throughputs: number[];
 }
 
-/** Compares the proxy with a bare relay and with no relay, in one run. */
+/** Compares the proxy with a plain TCP relay and a direct connection. */
 async function main(): Promise<void> {
-  const [relayPort = 0] = await freePorts(1);
+  const [relayPort = 0] = await findFreePorts(1);
   const fleet = await Fleet.start({
     controls: 1,
     proxies: 1,
@@ -38,32 +38,36 @@
     service: {connections: 40, proxies: 1, confirmations: 0, queue: 1_000},
     standin: ['--connections', '120', '--slots', '120'],
   });
-  const target = fleet.targets[0]!.port;
+  const targetPort = fleet.targets[0]!.port;
   const [proxy] = fleet.proxies as [ProxyProcess];
-  const relay = startRelay(relayPort, target);
+  const relay = startRelay(relayPort, targetPort);
   try {
-    await until(() => isListening(relayPort), 'the relay');
-    await prepare(target);
-    const ways = [
-      way('straight to the stand-in', target, undefined),
-      way('bare relay', relayPort, relay.pid),
-      way('bulrushstage-proxy', proxy.port, proxy.processId),
+    await waitUntil(() => isListening(relayPort), 'the relay');
+    await prepare(targetPort);
+    const paths = [
+      createPath('direct connection', targetPort, undefined),
+      createPath('plain TCP relay', relayPort, relay.pid),
+      createPath('bulrushstage-proxy', proxy.port, proxy.processId),
     ];
-    for (let round = 0; round < ROUNDS; round++) {
-      for (const each of ways) await measure(each);
+    for (let round = 0; round < ROUND_COUNT; round++) {
+      for (const path of paths) await measure(path);
     }
-    report(ways);
+    printReport(paths);
   } finally {
-    await proxy.end('SIGTERM');
+    await proxy.kill('SIGTERM');
     relay.kill();
     await fleet.stop();
   }
   process.exit();
 }
 
-function way(name: string, port: number, processId: number | undefined): Way {
+function createPath(
+  name: string,
+  port: number,
+  processId: number | undefined,
+): Path {
   const latency = build({numberOfSignificantValueDigits: 3, autoResize: true});
-  const counts = {cpuMs: 0, statements: 0};
+  const counts = {cpuMs: 0, statementCount: 0};
   return {name, port, processId, latency, throughputs: [], ...counts};
 }
 
@@ -80,23 +84,23 @@
   await client.end();
 }
 
-/** One round of closed-loop questions over all connections. */
-async function measure(each: Way): Promise<void> {
-  const end = performance.now() + ROUND_MS;
-  const before = each.processId ? cpuTimeOf(each.processId) : 0;
+/** Runs one round of closed-loop queries over all connections. */
+async function measure(path: Path): Promise<void> {
+  const endAt = performance.now() + ROUND_DURATION_MS;
+  const cpuMsBefore = path.processId ? cpuTimeMsOf(path.processId) : 0;
   const counts = await Promise.all(
-    Array.from({length: CONNECTIONS}, () => ask(each, end)),
+    Array.from({length: CONNECTION_COUNT}, () => runClient(path, endAt)),
   );
   const total = counts.reduce((sum, count) => sum + count, 0);
-  if (each.processId) each.cpuMs += cpuTimeOf(each.processId) - before;
-  each.statements += total;
-  each.throughputs.push((total * 1_000) / ROUND_MS);
+  if (path.processId) path.cpuMs += cpuTimeMsOf(path.processId) - cpuMsBefore;
+  path.statementCount += total;
+  path.throughputs.push((total * 1_000) / ROUND_DURATION_MS);
 }
 
-function ask({port, latency}: Way, end: number): Promise<number> {
+function runClient({port, latency}: Path, endAt: number): Promise<number> {
   return new Promise(resolve => {
     const socket = createConnection(port, '127.0.0.1');
-    const splitter = new FrameDecoder(1_000_000);
+    const decoder = new FrameDecoder(1_000_000);
     const query = serialize.query(QUERY);
     let count = -1;
     let sentAt = 0;
@@ -104,13 +108,13 @@
     socket.on('error', () => {});
     socket.on('close', () => resolve(Math.max(0, count)));
     socket.on('data', chunk => {
-      const frames = splitter.push(chunk);
+      const frames = decoder.push(chunk);
       if ('type' in frames) return socket.destroy();
       if (!frames.some(({type}) => type === READY)) return;
       const now = performance.now();
       if (count >= 0) latency.recordValue(Math.round((now - sentAt) * 1_000));
       count++;
-      if (now >= end) return socket.end(serialize.end());
+      if (now >= endAt) return socket.end(serialize.end());
       sentAt = now;
       socket.write(query);
     });
@@ -119,55 +123,65 @@
   });
 }
 
-function report(ways: readonly Way[]): void {
-  const [straight, bare] = ways as [Way, Way];
-  console.log(`${CONNECTIONS} connections, ${ROUNDS} rounds: ${QUERY}`);
-  for (const each of ways) {
-    const rate = median(each.throughputs).toFixed(0).padStart(7);
-    const added = `p50 ${addedBy(each, straight, 50)}, p99 ${addedBy(each, straight, 99)}`;
-    console.log(`${each.name.padEnd(26)} ${rate} a second, ${added}`);
-    if (!each.processId) continue;
-    const ratio = (costOf(bare) / costOf(each)).toFixed(2);
-    const perCore = (1e6 / costOf(each)).toFixed(0);
+function printReport(paths: readonly Path[]): void {
+  const [directPath, relayPath] = paths as [Path, Path];
+  console.log(
+    `${CONNECTION_COUNT} connections, ${ROUND_COUNT} rounds: ${QUERY}`,
+  );
+  for (const path of paths) {
+    const throughput = median(path.throughputs).toFixed(0).padStart(7);
+    const addedLatency = `p50 ${formatAddedLatency(path, directPath, 50)}, p99 ${formatAddedLatency(path, directPath, 99)}`;
+    console.log(
+      `${path.name.padEnd(26)} ${throughput} per second, ${addedLatency}`,
+    );
+    if (!path.processId) continue;
+    const relativeThroughput = (
+      cpuUsPerStatement(relayPath) / cpuUsPerStatement(path)
+    ).toFixed(2);
+    const throughputPerCore = (1e6 / cpuUsPerStatement(path)).toFixed(0);
     console.log(
-      `${''.padEnd(26)} ${costOf(each).toFixed(1)} µs of processor a ` +
-        `statement: ${perCore} a second on one core, ${ratio} of the relay`,
+      `${''.padEnd(26)} ${cpuUsPerStatement(path).toFixed(1)} µs of CPU per ` +
+        `statement: ${throughputPerCore} per second on one core, ${relativeThroughput} of the relay`,
     );
   }
 }
 
-/** Processor time of a statement, in microseconds. */
-function costOf({cpuMs, statements}: Way): number {
-  return (cpuMs * 1_000) / statements;
+/** Returns the mean CPU time of a statement, in microseconds. */
+function cpuUsPerStatement({cpuMs, statementCount}: Path): number {
+  return (cpuMs * 1_000) / statementCount;
 }
 
-function addedBy(each: Way, straight: Way, percentile: number): string {
-  const own = each.latency.getValueAtPercentile(percentile);
-  const least = straight.latency.getValueAtPercentile(percentile);
-  return `${own < least ? '' : '+'}${((own - least) / 1_000).toFixed(2)} ms`;
+function formatAddedLatency(
+  measured: Path,
+  baseline: Path,
+  percentile: number,
+): string {
+  const latency = measured.latency.getValueAtPercentile(percentile);
+  const baselineLatency = baseline.latency.getValueAtPercentile(percentile);
+  return `${latency < baselineLatency ? '' : '+'}${((latency - baselineLatency) / 1_000).toFixed(2)} ms`;
 }
 
 function median(values: readonly number[]): number {
   return [...values].sort((a, b) => a - b)[Math.floor(values.length / 2)] ?? 0;
 }
 
-/** The bare relay, in a process of its own like the proxy. */
-function startRelay(port: number, target: number): ChildProcess {
-  const args = [process.argv[1]!, '--relay', String(port), String(target)];
+/** Starts the TCP relay in a separate process, as the proxy is. */
+function startRelay(port: number, targetPort: number): ChildProcess {
+  const args = [process.argv[1]!, '--relay', String(port), String(targetPort)];
   return spawn(process.execPath, args, {stdio: 'inherit'});
 }
 
-function runRelay(port: number, target: number): void {
-  const join = (near: Socket) => {
-    const far = createConnection(target, '127.0.0.1');
-    near.setNoDelay(true);
-    far.setNoDelay(true);
-    near.on('error', () => far.destroy());
-    far.on('error', () => near.destroy());
-    near.pipe(far);
-    far.pipe(near);
+function runRelay(port: number, targetPort: number): void {
+  const accept = (client: Socket) => {
+    const upstream = createConnection(targetPort, '127.0.0.1');
+    client.setNoDelay(true);
+    upstream.setNoDelay(true);
+    client.on('error', () => upstream.destroy());
+    upstream.on('error', () => client.destroy());
+    client.pipe(upstream);
+    upstream.pipe(client);
   };
-  createServer(join).listen(port, '127.0.0.1');
+  createServer(accept).listen(port, '127.0.0.1');
 }
 
 const [, , mode, port, target] = process.argv;
--- a/bench/replica_share.ts
+++ b/bench/replica_share.ts
@@ -3,20 +3,23 @@
 import {runLoad} from '../src/load/node/load_run';
 
 const SERVICE = 'bench';
-const SECONDS = 4;
-const LAGS_MS = [5, 100, 400, 1_200];
+const LOAD_SECONDS = 4;
+const APPLY_LAGS_MS = [5, 100, 400, 1_200];
 
-/** The same load with reads of some age, and with all reads at the primary. */
+/** Compares reads that accept stale data with reads at the primary only. */
 async function main(): Promise<void> {
-  for (const lagMs of LAGS_MS) {
+  for (const lagMs of APPLY_LAGS_MS) {
     for (const requestClass of ['review', 'filing']) {
-      console.log(await once(lagMs, requestClass));
+      console.log(await measureLoad(lagMs, requestClass));
     }
   }
   process.exit();
 }
 
-async function once(lagMs: number, requestClass: string): Promise<string> {
+async function measureLoad(
+  lagMs: number,
+  requestClass: string,
+): Promise<string> {
   const fleet = await Fleet.start({
     controls: 1,
     proxies: 3,
@@ -46,17 +49,17 @@
             sessions: 24,
           },
         ],
-        seconds: SECONDS,
+        seconds: LOAD_SECONDS,
         seed: 1,
       },
       new AbortController().signal,
     );
-    const share = await replicaShare(fleet);
+    const replicaFraction = await replicaReadFraction(fleet);
     const read = result.classes.find(({kind}) => kind === 'read')!;
     const write = result.classes.find(({kind}) => kind === 'write')!;
-    const policy = requestClass === 'review' ? 'age 1000 ms' : 'all to primary';
+    const policy = requestClass === 'review' ? 'age 1000 ms' : 'primary only';
     return (
-      `lag ${lagMs} ms, ${policy}: replicas served ${(share * 100).toFixed(1)} %, ` +
+      `lag ${lagMs} ms, ${policy}: replicas served ${(replicaFraction * 100).toFixed(1)} %, ` +
       `reads p50 ${read.p50Ms.toFixed(1)} p99 ${read.p99Ms.toFixed(1)} ms ` +
       `(${read.done} of ${read.offered} done), ` +
       `writes p50 ${write.p50Ms.toFixed(1)} p99 ${write.p99Ms.toFixed(1)} ms`
@@ -66,21 +69,21 @@
   }
 }
 
-async function replicaShare(fleet: Fleet): Promise<number> {
-  let served = 0;
-  let reads = 0;
+async function replicaReadFraction(fleet: Fleet): Promise<number> {
+  let replicaReadCount = 0;
+  let readCount = 0;
   for (const {statusPort} of fleet.proxies) {
     const page = await fetchJson(statusPort, '/status');
     const {outcomes} = page as {outcomes: Record<string, number>};
     for (const [outcome, count] of Object.entries(outcomes)) {
       if (outcome === 'primary for a write' || outcome === 'not run') continue;
-      reads += count;
+      readCount += count;
       if (outcome.includes('replica')) {
-        served += outcome.startsWith('primary') ? 0 : count;
+        replicaReadCount += outcome.startsWith('primary') ? 0 : count;
       }
     }
   }
-  return reads === 0 ? 0 : served / reads;
+  return readCount === 0 ? 0 : replicaReadCount / readCount;
 }
 
 void main();
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,13 +1,13 @@
 import {setTimeout as sleep} from 'node:timers/promises';
-import {cpuTimeOf, memoryOf} from './fleet/cpu_time';
+import {cpuTimeMsOf, residentMegabytesOf} from './fleet/cpu_time';
 import {Fleet} from './fleet/fleet';
 import {runLoad} from '../src/load/node/load_run';
 
-const WINDOW_MS = 5_000;
-/** Code is compiled as it warms up; that is no steady cost. */
+const MEASUREMENT_MS = 5_000;
+/** Excludes the cost of JIT compilation from the measurement. */
 const WARM_UP_MS = 6_000;
-/** Services and proxies. */
-const SIZES = [
+/** Pairs of service count and proxy count. */
+const FLEET_SIZES = [
   [1, 1],
   [1, 4],
   [4, 1],
@@ -16,69 +16,74 @@
   [12, 4],
 ] as const;
 
-/** What one role spent while nothing but control went on. */
-interface Idle {
-  readonly services: number;
-  readonly proxies: number;
+/** Resource usage of idle processes in a fleet without load. */
+interface IdleUsage {
+  readonly serviceCount: number;
+  readonly proxyCount: number;
   readonly controlCorePercent: number;
   readonly controlMegabytes: number;
   readonly proxyCorePercent: number;
   readonly proxyMegabytes: number;
 }
 
-/** Measures what roles cost at several sizes, for docs/CAPACITY.md. */
+/** Measures CPU and memory per role at several fleet sizes. */
 async function main(): Promise<void> {
-  const sessionsOnly = process.argv.includes('--sessions');
-  const first = process.argv.includes('--first');
-  for (const [services, proxies] of sessionsOnly
+  const skipsIdle = process.argv.includes('--sessions');
+  const onlyFirst = process.argv.includes('--first');
+  for (const [serviceCount, proxyCount] of skipsIdle
     ? []
-    : SIZES.slice(0, first ? 1 : SIZES.length)) {
-    const idle = await measureIdle(services, proxies);
+    : FLEET_SIZES.slice(0, onlyFirst ? 1 : FLEET_SIZES.length)) {
+    const usage = await measureIdle(serviceCount, proxyCount);
     console.log(
-      `${services} services, ${proxies} proxies: ` +
-        `control leader ${idle.controlCorePercent.toFixed(2)} % of a core, ` +
-        `${idle.controlMegabytes.toFixed(0)} MB; ` +
-        `proxy ${idle.proxyCorePercent.toFixed(2)} %, ` +
-        `${idle.proxyMegabytes.toFixed(0)} MB`,
+      `${serviceCount} services, ${proxyCount} proxies: ` +
+        `control leader ${usage.controlCorePercent.toFixed(2)} % of a core, ` +
+        `${usage.controlMegabytes.toFixed(0)} MB; ` +
+        `proxy ${usage.proxyCorePercent.toFixed(2)} %, ` +
+        `${usage.proxyMegabytes.toFixed(0)} MB`,
     );
   }
-  if (first) process.exit();
-  for (const sessions of [1, 500, 1_000]) await measureSessions(sessions);
+  if (onlyFirst) process.exit();
+  for (const count of [1, 500, 1_000]) await measureSessions(count);
   process.exit();
 }
 
-async function measureIdle(services: number, proxies: number): Promise<Idle> {
+async function measureIdle(
+  serviceCount: number,
+  proxyCount: number,
+): Promise<IdleUsage> {
   const fleet = await Fleet.start({
     controls: 1,
-    proxies,
-    services: Array.from({length: services}, (...[, at]) => `s${at}`),
+    proxies: proxyCount,
+    services: Array.from({length: serviceCount}, (...[, index]) => `s${index}`),
     members: 3,
   });
   try {
     await sleep(WARM_UP_MS);
     const [control] = fleet.controls;
     const [proxy] = fleet.proxies;
-    const ids = [control!.processId, proxy!.processId] as const;
-    const before = ids.map(cpuTimeOf);
-    await sleep(WINDOW_MS);
-    const spent = ids.map((...[id, at]) => {
-      return ((cpuTimeOf(id) - before[at]!) / WINDOW_MS) * 100;
+    const processIds = [control!.processId, proxy!.processId] as const;
+    const cpuMsBefore = processIds.map(cpuTimeMsOf);
+    await sleep(MEASUREMENT_MS);
+    const corePercents = processIds.map((...[processId, index]) => {
+      return (
+        ((cpuTimeMsOf(processId) - cpuMsBefore[index]!) / MEASUREMENT_MS) * 100
+      );
     });
     return {
-      services,
-      proxies,
-      controlCorePercent: spent[0]!,
-      controlMegabytes: memoryOf(ids[0]),
-      proxyCorePercent: spent[1]!,
-      proxyMegabytes: memoryOf(ids[1]),
+      serviceCount,
+      proxyCount,
+      controlCorePercent: corePercents[0]!,
+      controlMegabytes: residentMegabytesOf(processIds[0]),
+      proxyCorePercent: corePercents[1]!,
+      proxyMegabytes: residentMegabytesOf(processIds[1]),
     };
   } finally {
     await fleet.stop();
   }
 }
 
-/** Memory of a proxy with many sessions, and its cost of a statement. */
-async function measureSessions(sessions: number): Promise<void> {
+/** Measures a proxy's peak memory and CPU time per read under load. */
+async function measureSessions(sessionCount: number): Promise<void> {
   const fleet = await Fleet.start({
     controls: 1,
     proxies: 1,
@@ -88,17 +93,23 @@
   });
   try {
     const proxy = fleet.proxies[0]!;
-    const before = cpuTimeOf(proxy.processId);
-    let peak = 0;
+    const cpuMsBefore = cpuTimeMsOf(proxy.processId);
+    let peakMb = 0;
     const sampler = setInterval(() => {
-      peak = Math.max(peak, memoryOf(proxy.processId));
+      peakMb = Math.max(peakMb, residentMegabytesOf(proxy.processId));
     }, 100);
     const result = await runLoad(
       {
         proxies: [`127.0.0.1:${proxy.port}`],
         service: 's',
         classes: [
-          {name: 'review', caller: 'a', kind: 'read', rate: 1_000, sessions},
+          {
+            name: 'review',
+            caller: 'a',
+            kind: 'read',
+            rate: 1_000,
+            sessions: sessionCount,
+          },
         ],
         seconds: 4,
         seed: 1,
@@ -106,11 +117,11 @@
       new AbortController().signal,
     );
     clearInterval(sampler);
-    const spent = cpuTimeOf(proxy.processId) - before;
+    const cpuMs = cpuTimeMsOf(proxy.processId) - cpuMsBefore;
     const {done} = result.classes[0]!;
     console.log(
-      `${sessions} sessions: proxy ${peak.toFixed(0)} MB at most, ` +
-        `${done} reads, ${((spent * 1_000) / done).toFixed(0)} µs of processor each`,
+      `${sessionCount} sessions: proxy ${peakMb.toFixed(0)} MB peak, ` +
+        `${done} reads, ${((cpuMs * 1_000) / done).toFixed(0)} µs of CPU per read`,
     );
   } finally {
     await fleet.stop();
--- a/test/golden/caller_session.test.ts
+++ b/test/golden/caller_session.test.ts
@@ -1,5 +1,5 @@
 import {afterAll, beforeAll, expect, it} from 'vitest';
-import {Fleet, until} from '../../bench/fleet/fleet';
+import {Fleet, waitUntil} from '../../bench/fleet/fleet';
 import {SERVICE} from '../support';
 import {Transcript} from './transcript';
 
@@ -45,8 +45,11 @@
 
   const {primary} = await fleet.primaryOf(SERVICE);
   session.note('--- the primary is killed');
-  await fleet.target(primary).end();
-  await until(async () => (await fleet.primaryOf(SERVICE)).term > 1, 'term 2');
+  await fleet.target(primary).kill();
+  await waitUntil(
+    async () => (await fleet.primaryOf(SERVICE)).term > 1,
+    'term 2',
+  );
 
   const moved = await Transcript.open(second!.port, {
     user: 'treasurer',
--- a/test/process/control.test.ts
+++ b/test/process/control.test.ts
@@ -3,7 +3,7 @@
 import {join} from 'node:path';
 import {promisify} from 'node:util';
 import {afterEach, describe, expect, it} from 'vitest';
-import {fetchJson, Fleet, until} from '../../bench/fleet/fleet';
+import {fetchJson, Fleet, waitUntil} from '../../bench/fleet/fleet';
 import {client, outcome, SERVICE} from '../support';
 
 const execute = promisify(execFile);
@@ -52,7 +52,7 @@
     members: 3,
     service: {connections: 8},
   });
-  await until(
+  await waitUntil(
     async () => (await voters()).length === controls,
     'all voters',
     SETTLED_MS,
@@ -82,7 +82,7 @@
     const result = await ctl('apply', variant(3_000));
     const acceptedAt = Date.now();
     expect(result).toMatchObject({accepted: true, version: 1});
-    await until(
+    await waitUntil(
       async () => (await versions()).every(v => v === 1),
       'version 1',
     );
@@ -116,10 +116,10 @@
     const first = await ctl('apply', variant(3_000), ...words);
     await ctl('apply', variant(4_000), '--base-version', '1');
     const {instance} = await ctl<Status>('status');
-    await fleet.controls.find(({name}) => name === instance)!.end();
+    await fleet.controls.find(({name}) => name === instance)!.kill();
     const again = await ctl('apply', variant(3_000), ...words);
     expect(again).toEqual(first);
-    await until(
+    await waitUntil(
       async () => (await versions()).every(v => v === 2),
       'version 2',
     );
@@ -132,8 +132,8 @@
     await ctl('apply', variant(3_000));
     const {instance} = await ctl<Status>('status');
     const old = fleet.controls.find(({name}) => name === instance)!;
-    old.signal('SIGSTOP');
-    await until(
+    old.sendSignal('SIGSTOP');
+    await waitUntil(
       async () => {
         const result = await ctl(
           'apply',
@@ -146,11 +146,11 @@
       'a change without it',
       15_000,
     );
-    await until(
+    await waitUntil(
       async () => (await versions()).every(v => v === 2),
       'version 2',
     );
-    old.signal('SIGCONT');
+    old.sendSignal('SIGCONT');
     await new Promise(resolve => setTimeout(resolve, 1_500));
     expect(await versions()).toEqual([2, 2]);
     const caller = await client(fleet, 0);
@@ -177,10 +177,10 @@
     const {instance} = await ctl<Status>('status');
     const [lost, second] = fleet.controls.filter(({name}) => name !== instance);
     const before = await voters();
-    await lost!.end();
+    await lost!.kill();
     for (const name of readdirSync(lost!.data)) rmSync(join(lost!.data, name));
     lost!.start();
-    await until(
+    await waitUntil(
       async () => {
         const now = await voters();
         return now.length === 3 && now.some(id => !before.includes(id));
@@ -188,7 +188,7 @@
       'the repaired voter',
       SETTLED_MS,
     );
-    await second!.end();
+    await second!.kill();
     const result = await ctl('apply', variant(4_000), '--base-version', '1');
     expect(result).toMatchObject({accepted: true, version: 2});
   });
@@ -197,7 +197,7 @@
   it('bring everything back after a kill of all three', async () => {
     await start();
     await ctl('apply', variant(3_000));
-    await Promise.all(fleet.controls.map(control => control.end()));
+    await Promise.all(fleet.controls.map(control => control.kill()));
     for (const control of fleet.controls) control.start();
     const result = await ctl('apply', variant(4_000), '--base-version', '1');
     expect(result).toMatchObject({accepted: true, version: 2});
@@ -209,10 +209,10 @@
   it('that are damaged stop the instance with a clear error', async () => {
     await start(1);
     const [control] = fleet.controls;
-    await control!.end();
+    await control!.kill();
     writeFileSync(join(control!.data, 'snapshot'), 'rubbish');
     control!.start();
-    expect(await control!.exited()).toBe(74);
+    expect(await control!.waitForExit()).toBe(74);
     expect(control!.log).toContain('data folder damaged: snapshot file');
   });
 });
@@ -228,7 +228,7 @@
     });
     const [proxy] = fleet.proxies;
     proxy!.start();
-    expect(await proxy!.exited()).toBe(78);
+    expect(await proxy!.waitForExit()).toBe(78);
     expect(proxy!.log).toMatch(/settings\.ini:3: lease_ms: found "soon"/);
   });
 });
--- a/test/process/failover.test.ts
+++ b/test/process/failover.test.ts
@@ -1,6 +1,6 @@
 import {afterEach, describe, expect, it} from 'vitest';
 import type pg from 'pg';
-import {Fleet, until, type FleetPlan} from '../../bench/fleet/fleet';
+import {Fleet, waitUntil, type FleetPlan} from '../../bench/fleet/fleet';
 import {client, direct, outcome, Relay, SERVICE} from '../support';
 
 let fleet: Fleet;
@@ -98,7 +98,7 @@
   await sleep(500);
   const before = (await fleet.primaryOf(SERVICE)).term;
   await fault();
-  await until(async () => {
+  await waitUntil(async () => {
     const {term, primary} = await fleet.primaryOf(SERVICE);
     return term > before && primary !== '';
   }, 'a new primary');
@@ -118,7 +118,7 @@
     await throughFault(() =>
       fleet
         .target(first)
-        .end()
+        .kill()
         .then(() => {}),
     );
     fleet.target(first).start();
@@ -128,7 +128,7 @@
     await throughFault(() =>
       fleet
         .target(second)
-        .end()
+        .kill()
         .then(() => {}),
     );
   });
@@ -138,10 +138,10 @@
   it('by freeze: what it does when it returns is not acknowledged', async () => {
     await start();
     const {primary} = await fleet.primaryOf(SERVICE);
-    await throughFault(async () => fleet.target(primary).signal('SIGSTOP'));
-    fleet.target(primary).signal('SIGCONT');
+    await throughFault(async () => fleet.target(primary).sendSignal('SIGSTOP'));
+    fleet.target(primary).sendSignal('SIGCONT');
     const old = await direct(fleet.target(primary).port);
-    await until(async () => {
+    await waitUntil(async () => {
       const {rows} = await old.query('SELECT role, term FROM group_status');
       return rows[0]!.role === 'replica' && Number(rows[0]!.term) >= 2;
     }, 'the old primary to follow');
@@ -160,7 +160,7 @@
       services: [SERVICE],
       members: 3,
       service: {connections: 12},
-      reroute: (address, target) => {
+      mapObserver: (address, target) => {
         wanted.push({address, target});
         return address;
       },
@@ -173,7 +173,7 @@
       byTarget.set(target, [...(byTarget.get(target) ?? []), relay]);
     }
     for (const target of fleet.targets) {
-      target.rewrite(argument =>
+      target.mapArguments(argument =>
         argument
           .split(',')
           .map(address => {
@@ -184,7 +184,7 @@
       );
     }
     fleet.startAll();
-    await fleet.ready();
+    await fleet.waitUntilReady();
     const caller = await client(fleet, 0);
     await caller.query('CREATE TABLE t (id text PRIMARY KEY)');
     await caller.end();
@@ -206,11 +206,11 @@
     const writers = await writersAt(2);
     await sleep(300);
     await Promise.all([
-      fleet.target(primary).end(),
-      leader.end(),
-      fleet.proxies[2]!.end(),
+      fleet.target(primary).kill(),
+      leader.kill(),
+      fleet.proxies[2]!.kill(),
     ]);
-    await until(async () => {
+    await waitUntil(async () => {
       return (await fleet.primaryOf(SERVICE)).term > 1;
     }, 'a new primary');
     await sleep(1_000);
@@ -233,13 +233,13 @@
     const others = fleet.targets.filter(({name}) => name !== primary);
     // A proxy that dies with its lease leaves unknown what it acknowledged.
     await Promise.all([
-      fleet.proxies[2]!.end(),
-      fleet.target(primary).end(),
-      others[0]!.end(),
+      fleet.proxies[2]!.kill(),
+      fleet.target(primary).kill(),
+      others[0]!.kill(),
     ]);
     const refused = await outcome(caller, "INSERT INTO t VALUES ('later')");
     expect(refused).toBe('RN002');
-    await until(
+    await waitUntil(
       () => fleet.controls.some(({log}) => log.includes('Cannot promote')),
       'the reason in the log of control',
     );
@@ -288,8 +288,8 @@
       }
     });
     await sleep(400);
-    await fleet.target(primary).end();
-    await until(async () => {
+    await fleet.target(primary).kill();
+    await waitUntil(async () => {
       return (await fleet.primaryOf(SERVICE)).term > 1;
     }, 'a new primary');
     await sleep(800);
--- a/test/process/path.test.ts
+++ b/test/process/path.test.ts
@@ -1,7 +1,7 @@
 import {createConnection} from 'node:net';
 import {serialize} from 'pg-protocol';
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
-import {Fleet, until} from '../../bench/fleet/fleet';
+import {Fleet, waitUntil} from '../../bench/fleet/fleet';
 import {client, direct, outcome, SERVICE} from '../support';
 
 let fleet: Fleet;
@@ -93,7 +93,7 @@
     const gone = caller.end();
     await gone;
     const next = await client(fleet, 0);
-    await until(async () => {
+    await waitUntil(async () => {
       const found = await outcome(next, "INSERT INTO t VALUES ('left', 2)");
       return Array.isArray(found);
     }, 'the place of the transaction that was left open');
@@ -213,7 +213,7 @@
       );
       return Number(rows[0]!.value);
     };
-    fleet.controls[0]!.signal('SIGSTOP');
+    fleet.controls[0]!.sendSignal('SIGSTOP');
     await statistics.query("SET member.leaving = 'on'");
     await new Promise(resolve => setTimeout(resolve, 2_000));
     const before = await executed();
@@ -222,7 +222,7 @@
       await outcome(caller, 'SELECT id FROM t');
     }
     expect((await executed()) - before).toBe(1);
-    fleet.controls[0]!.signal('SIGCONT');
+    fleet.controls[0]!.sendSignal('SIGCONT');
     await statistics.query("SET member.leaving = 'off'");
     await Promise.all([caller.end(), statistics.end()]);
   });
@@ -238,8 +238,8 @@
     const reading = outcome(await client(fleet, 1), 'SELECT pg_sleep(1)');
     await busy.query('BEGIN');
     await busy.query("INSERT INTO t VALUES ('stop', 1)");
-    const exited = proxy!.exited();
-    proxy!.signal('SIGTERM');
+    const exited = proxy!.waitForExit();
+    proxy!.sendSignal('SIGTERM');
     await new Promise(resolve => setTimeout(resolve, 400));
     await expect(client(fleet, 1)).rejects.toThrow();
     expect(await outcome(idle, 'SELECT 1')).not.toEqual([{one: '1'}]);
