--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -64,10 +64,8 @@
     const processIds = [control!.processId, proxy!.processId] as const;
     const cpuMsBefore = processIds.map(cpuTimeMsOf);
     await sleep(MEASUREMENT_MS);
-    const corePercents = processIds.map((...[processId, index]) => {
-      return (
-        ((cpuTimeMsOf(processId) - cpuMsBefore[index]!) / MEASUREMENT_MS) * 100
-      );
+    const corePercents = processIds.map((...[id, index]) => {
+      return ((cpuTimeMsOf(id) - cpuMsBefore[index]!) / MEASUREMENT_MS) * 100;
     });
     return {
       serviceCount,
--- a/test/build_programs.ts
+++ b/test/build_programs.ts
@@ -1,15 +1,15 @@
 import {execFileSync} from 'node:child_process';
 
-const BUILDS = ['scripts/build.mjs', 'scripts/build_platform.mjs'];
+const BUILD_SCRIPTS = ['scripts/build.mjs', 'scripts/build_platform.mjs'];
 
 /**
- * Bundles the programs once, so that process tests run what users run.
+ * Bundles the programs once for all test files.
  *
- * Guard: while one file's tests bundled them again, a program that another
- * file's tests started loaded half a file and ended without a word.
+ * Guard: a bundle rewritten during a test run makes processes started by other
+ * test files load a partial file and exit silently.
  */
 export function setup(): void {
-  for (const script of BUILDS) {
+  for (const script of BUILD_SCRIPTS) {
     execFileSync(process.execPath, [script], {stdio: 'inherit'});
   }
 }
--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -7,19 +7,19 @@
 } from '../src/services/settings/common/settings';
 import {loadSettings} from '../src/services/settings/node/settings_files';
 
-describe.each(['derwent', 'volta'])('the deployment of %s', user => {
+describe.each(['derwent', 'volta'])('settings of %s', user => {
   const folder = join('config', user);
   const overlays = readdirSync(folder).filter(name => name !== 'base.ini');
 
-  it('is valid at each of its three sites', () => {
+  it('are valid at each of its three sites', () => {
     expect(overlays).toHaveLength(3);
     for (const overlay of overlays) {
       const loaded = loadSettings(
         join(folder, 'base.ini'),
         join(folder, overlay),
       );
-      const faults = loaded.isErr ? loaded.error.map(formatSettingsError) : [];
-      expect(faults).toEqual([]);
+      const errors = loaded.isErr ? loaded.error.map(formatSettingsError) : [];
+      expect(errors).toEqual([]);
       if (loaded.isErr) continue;
       expect(`${siteOf(loaded.value)}.ini`).toBe(overlay);
       expect(loaded.value.services.size).toBe(3);
--- a/test/golden/transcript.ts
+++ b/test/golden/transcript.ts
@@ -13,17 +13,17 @@
 } from '../../src/services/wire/common/frames';
 import {BodyReader} from '../../src/services/wire/common/body_reader';
 
-/** A caller that writes down every frame it sees. */
+/** A client that records its requests and every frame it receives. */
 export class Transcript {
-  private readonly splitter = new FrameDecoder(1_000_000);
+  private readonly decoder = new FrameDecoder(1_000_000);
   private readonly lines: string[] = [];
-  private waiting: (() => void) | undefined;
+  private onDidComplete: (() => void) | undefined;
 
   private constructor(private readonly socket: Socket) {
     socket.on('data', chunk => this.onData(chunk));
     socket.on('close', () => {
       this.lines.push('  < closed');
-      this.waiting?.();
+      this.onDidComplete?.();
     });
     socket.on('error', () => {});
   }
@@ -34,8 +34,8 @@
   ): Promise<Transcript> {
     const socket = createConnection(port, '127.0.0.1');
     const transcript = new Transcript(socket);
-    transcript.note(`> startup ${JSON.stringify(parameters)}`);
-    await transcript.say(serialize.startup(parameters as never));
+    transcript.addLine(`> startup ${JSON.stringify(parameters)}`);
+    await transcript.send(serialize.startup(parameters as never));
     return transcript;
   }
 
@@ -43,21 +43,23 @@
     return `${this.lines.join('\n')}\n`;
   }
 
-  note(line: string): void {
+  addLine(line: string): void {
     this.lines.push(line);
   }
 
-  /** A simple query. */
-  async query(text: string): Promise<void> {
-    this.note(`> query ${text}`);
-    await this.say(serialize.query(text));
+  /** Runs a query with the simple protocol. */
+  async runQuery(text: string): Promise<void> {
+    this.addLine(`> query ${text}`);
+    await this.send(serialize.query(text));
   }
 
-  /** A batch of the extended protocol. */
-  async batch(name: string, text: string, values: string[]): Promise<void> {
-    const shown = JSON.stringify(values);
-    this.note(`> parse "${name}" ${text}; bind ${shown}; execute; sync`);
-    await this.say(
+  /** Runs a statement with the extended protocol. */
+  async runBatch(name: string, text: string, values: string[]): Promise<void> {
+    const valuesText = JSON.stringify(values);
+    this.addLine(
+      `> parse "${name}" ${text}; bind ${valuesText}; execute; sync`,
+    );
+    await this.send(
       Buffer.concat([
         serialize.parse({name, text}),
         serialize.bind({statement: name, values}),
@@ -68,31 +70,31 @@
     );
   }
 
-  async end(): Promise<void> {
-    this.note('> terminate');
-    await this.say(serialize.end());
+  async terminate(): Promise<void> {
+    this.addLine('> terminate');
+    await this.send(serialize.end());
   }
 
-  /** Sends bytes and waits for the next ReadyForQuery or the end. */
-  private async say(bytes: Buffer): Promise<void> {
-    const ready = new Promise<void>(resolve => (this.waiting = resolve));
+  /** Sends bytes and waits for the next ReadyForQuery or the close. */
+  private async send(bytes: Buffer): Promise<void> {
+    const ready = new Promise<void>(resolve => (this.onDidComplete = resolve));
     this.socket.write(bytes);
     await ready;
   }
 
   private onData(chunk: Buffer): void {
-    const frames = this.splitter.push(chunk);
-    if ('type' in frames) throw new Error('not a frame');
+    const frames = this.decoder.push(chunk);
+    if ('type' in frames) throw new Error('received an invalid frame');
     for (const frame of frames) {
-      const line = describe(frame);
-      if (line) this.note(`  < ${line}`);
-      if (frame.type === 'Z'.charCodeAt(0)) this.waiting?.();
+      const line = describeFrame(frame);
+      if (line) this.addLine(`  < ${line}`);
+      if (frame.type === 'Z'.charCodeAt(0)) this.onDidComplete?.();
     }
   }
 }
 
-/** One frame as a line; undefined for what differs from run to run. */
-function describe(frame: Frame): string | undefined {
+/** Formats a frame as a line; undefined if it differs between runs. */
+function describeFrame(frame: Frame): string | undefined {
   const body = bodyOf(frame);
   switch (String.fromCharCode(frame.type)) {
     case 'R':
@@ -112,8 +114,8 @@
     case 'E':
     case 'N': {
       const {severity, code, message, hint} = decodeDiagnostic(body);
-      const more = hint === undefined ? '' : ` (${hint})`;
-      return `${severity} ${code} ${message}${more}`;
+      const hintText = hint === undefined ? '' : ` (${hint})`;
+      return `${severity} ${code} ${message}${hintText}`;
     }
     case '1':
       return 'parse complete';
--- a/test/process/control.test.ts
+++ b/test/process/control.test.ts
@@ -4,26 +4,26 @@
 import {promisify} from 'node:util';
 import {afterEach, describe, expect, it} from 'vitest';
 import {fetchJson, Fleet, waitUntil} from '../../bench/fleet/fleet';
-import {client, outcome, SERVICE} from '../support';
+import {connectToProxy, runQuery, SERVICE} from '../support';
 
 const execute = promisify(execFile);
-const SETTLED_MS = 10_000;
+const VOTERS_TIMEOUT_MS = 10_000;
 
 let fleet: Fleet;
 afterEach(() => fleet.stop());
 
-interface Outcome {
+interface ApplyResult {
   readonly accepted: boolean;
   readonly version: number;
   readonly winnerChangeId: string;
 }
 
-/** Runs bulrushctl; what it printed as JSON. */
-async function ctl<T = Outcome>(...args: string[]): Promise<T> {
+/** Runs bulrushctl and returns its JSON output. */
+async function runCtl<T = ApplyResult>(...args: string[]): Promise<T> {
   const control = fleet.controls.map(({port}) => `127.0.0.1:${port}`).join(',');
-  const words = ['dist/bulrushctl.cjs', ...args, '--control', control];
+  const ctlArgs = ['dist/bulrushctl.cjs', ...args, '--control', control];
   try {
-    const {stdout} = await execute(process.execPath, [...words, '--json']);
+    const {stdout} = await execute(process.execPath, [...ctlArgs, '--json']);
     return JSON.parse(stdout) as T;
   } catch (error) {
     const {stdout} = error as {stdout?: string};
@@ -38,8 +38,8 @@
   readonly configuration: {peers: {id: string; voter: boolean}[]};
 }
 
-async function voters(): Promise<string[]> {
-  const {configuration, leader} = await ctl<Status>('status');
+async function listVoters(): Promise<string[]> {
+  const {configuration, leader} = await runCtl<Status>('status');
   if (!leader) return [];
   return configuration.peers.filter(({voter}) => voter).map(({id}) => id);
 }
@@ -53,21 +53,21 @@
     service: {connections: 8},
   });
   await waitUntil(
-    async () => (await voters()).length === controls,
+    async () => (await listVoters()).length === controls,
     'all voters',
-    SETTLED_MS,
+    VOTERS_TIMEOUT_MS,
   );
 }
 
-/** A settings file that differs from the fleet's in the age of reviews. */
-function variant(ageMs: number): string {
+/** Writes the fleet's settings with another age limit for reviews. */
+function writeVariant(ageMs: number): string {
   const file = join(fleet.folder, `variant-${ageMs}.ini`);
   const text = fleet.settingsText.replace(/age_ms = 2000/, `age_ms = ${ageMs}`);
   writeFileSync(file, text);
   return file;
 }
 
-async function versions(): Promise<number[]> {
+async function settingsVersions(): Promise<number[]> {
   return Promise.all(
     fleet.proxies.map(async ({statusPort}) => {
       const page = await fetchJson(statusPort, '/status');
@@ -76,28 +76,28 @@
   );
 }
 
-describe('changes of settings', () => {
-  it('are in force at every proxy within 2 seconds', async () => {
+describe('settings changes', () => {
+  it('take effect at every proxy within 2 seconds', async () => {
     await start();
-    const result = await ctl('apply', variant(3_000));
+    const result = await runCtl('apply', writeVariant(3_000));
     const acceptedAt = Date.now();
     expect(result).toMatchObject({accepted: true, version: 1});
     await waitUntil(
-      async () => (await versions()).every(v => v === 1),
+      async () => (await settingsVersions()).every(version => version === 1),
       'version 1',
     );
     expect(Date.now() - acceptedAt).toBeLessThan(2_000);
   });
 
-  // Two operators change settings at once, both based on version 0. One wins;
-  // the other must hear that it did not, and who did.
-  it('that race with equal numbers: one wins, the others hear which', async () => {
+  // Guards against losing one of several concurrent changes with the same base
+  // version without telling its operator.
+  it('based on one version: one is accepted, the others name it', async () => {
     await start();
-    const files = [3_000, 4_000, 5_000, 6_000].map(variant);
+    const files = [3_000, 4_000, 5_000, 6_000].map(writeVariant);
     const results = await Promise.all(
-      files.map((...[file, at]) => {
-        const change = ['--change-id', `race-${at}`, '--base-version', '0'];
-        return ctl('apply', file, ...change);
+      files.map((...[file, index]) => {
+        const change = ['--change-id', `race-${index}`, '--base-version', '0'];
+        return runCtl('apply', file, ...change);
       }),
     );
     const winners = results.filter(({accepted}) => accepted);
@@ -108,105 +108,114 @@
     }
   });
 
-  // The answer to a change is lost, control changes its leader, and the
-  // operator sends it again: it gets its first answer, and counts once.
-  it('that are sent again get their first answer, after a new leader too', async () => {
+  // Guards against applying a change twice when an operator retries it after a
+  // change of the control leader.
+  it('get the first reply when retried at a new leader', async () => {
     await start();
-    const words = ['--change-id', 'again', '--base-version', '0'];
-    const first = await ctl('apply', variant(3_000), ...words);
-    await ctl('apply', variant(4_000), '--base-version', '1');
-    const {instance} = await ctl<Status>('status');
+    const changeArgs = ['--change-id', 'again', '--base-version', '0'];
+    const first = await runCtl('apply', writeVariant(3_000), ...changeArgs);
+    await runCtl('apply', writeVariant(4_000), '--base-version', '1');
+    const {instance} = await runCtl<Status>('status');
     await fleet.controls.find(({name}) => name === instance)!.kill();
-    const again = await ctl('apply', variant(3_000), ...words);
-    expect(again).toEqual(first);
+    const repeated = await runCtl('apply', writeVariant(3_000), ...changeArgs);
+    expect(repeated).toEqual(first);
     await waitUntil(
-      async () => (await versions()).every(v => v === 2),
+      async () => (await settingsVersions()).every(version => version === 2),
       'version 2',
     );
   });
 
-  // A control leader is cut off in silence, settings change without it, and it
-  // returns believing that it leads. No proxy may go back to the old ones.
-  it('never go back when an isolated leader returns', async () => {
+  // Guards against a former control leader reverting the settings when it
+  // resumes and still considers itself the leader.
+  it('are not reverted by a former leader that resumes', async () => {
     await start();
-    await ctl('apply', variant(3_000));
-    const {instance} = await ctl<Status>('status');
-    const old = fleet.controls.find(({name}) => name === instance)!;
-    old.sendSignal('SIGSTOP');
+    await runCtl('apply', writeVariant(3_000));
+    const {instance} = await runCtl<Status>('status');
+    const suspended = fleet.controls.find(({name}) => name === instance)!;
+    suspended.sendSignal('SIGSTOP');
     await waitUntil(
       async () => {
-        const result = await ctl(
+        const result = await runCtl(
           'apply',
-          variant(4_000),
+          writeVariant(4_000),
           '--base-version',
           '1',
         );
         return result.accepted;
       },
-      'a change without it',
+      'a change accepted by the new leader',
       15_000,
     );
     await waitUntil(
-      async () => (await versions()).every(v => v === 2),
+      async () => (await settingsVersions()).every(version => version === 2),
       'version 2',
     );
-    old.sendSignal('SIGCONT');
+    suspended.sendSignal('SIGCONT');
     await new Promise(resolve => setTimeout(resolve, 1_500));
-    expect(await versions()).toEqual([2, 2]);
-    const caller = await client(fleet, 0);
-    expect(await outcome(caller, 'SELECT 1 AS one')).toEqual([{one: '1'}]);
+    expect(await settingsVersions()).toEqual([2, 2]);
+    const caller = await connectToProxy(fleet, 0);
+    expect(await runQuery(caller, 'SELECT 1 AS one')).toEqual([{one: '1'}]);
     await caller.end();
   });
 
-  it('that are wrong are refused with every fault', async () => {
+  it('that are invalid are refused with the errors found', async () => {
     await start(1);
     const file = join(fleet.folder, 'wrong.ini');
     writeFileSync(file, `${fleet.settingsText}[class.x]\nage_ms = old\n`);
-    await expect(ctl('apply', file)).rejects.toThrow(/age_ms: found "old"/);
-    expect(await versions()).toEqual([0, 0]);
+    await expect(runCtl('apply', file)).rejects.toThrow(/age_ms: found "old"/);
+    expect(await settingsVersions()).toEqual([0, 0]);
   });
 });
 
-describe('the disks of control', () => {
-  // One instance loses its disk and comes back empty. It must not vote under
-  // its old name; once it has caught up it takes the old one's place. A second
-  // one is lost right after: nothing that was accepted is gone.
-  it('one lost, repaired, then a second one lost', async () => {
+describe('control storage', () => {
+  // An instance that lost its disk must rejoin with a new identity and catch up
+  // before it votes. Guards against losing accepted changes when a second
+  // instance fails afterwards.
+  it('survives a lost disk and then a failed instance', async () => {
     await start();
-    await ctl('apply', variant(3_000));
-    const {instance} = await ctl<Status>('status');
+    await runCtl('apply', writeVariant(3_000));
+    const {instance} = await runCtl<Status>('status');
     const [lost, second] = fleet.controls.filter(({name}) => name !== instance);
-    const before = await voters();
+    const votersBefore = await listVoters();
     await lost!.kill();
     for (const name of readdirSync(lost!.data)) rmSync(join(lost!.data, name));
     lost!.start();
     await waitUntil(
       async () => {
-        const now = await voters();
-        return now.length === 3 && now.some(id => !before.includes(id));
+        const now = await listVoters();
+        return now.length === 3 && now.some(id => !votersBefore.includes(id));
       },
       'the repaired voter',
-      SETTLED_MS,
+      VOTERS_TIMEOUT_MS,
     );
     await second!.kill();
-    const result = await ctl('apply', variant(4_000), '--base-version', '1');
+    const result = await runCtl(
+      'apply',
+      writeVariant(4_000),
+      '--base-version',
+      '1',
+    );
     expect(result).toMatchObject({accepted: true, version: 2});
   });
 
-  // All three are killed at once and start again after hundreds of changes.
-  it('bring everything back after a kill of all three', async () => {
+  it('restores the settings after all instances were killed', async () => {
     await start();
-    await ctl('apply', variant(3_000));
+    await runCtl('apply', writeVariant(3_000));
     await Promise.all(fleet.controls.map(control => control.kill()));
     for (const control of fleet.controls) control.start();
-    const result = await ctl('apply', variant(4_000), '--base-version', '1');
+    const result = await runCtl(
+      'apply',
+      writeVariant(4_000),
+      '--base-version',
+      '1',
+    );
     expect(result).toMatchObject({accepted: true, version: 2});
-    const caller = await client(fleet, 0);
+    const caller = await connectToProxy(fleet, 0);
     await caller.query('CREATE TABLE t (id text PRIMARY KEY)');
     await caller.end();
   });
 
-  it('that are damaged stop the instance with a clear error', async () => {
+  it('stops the instance with an error if it is damaged', async () => {
     await start(1);
     const [control] = fleet.controls;
     await control!.kill();
@@ -217,8 +226,8 @@
   });
 });
 
-describe('a program with wrong settings', () => {
-  it('starts nothing and says what is wrong', async () => {
+describe('a program with invalid settings', () => {
+  it('exits and reports the invalid value', async () => {
     fleet = await Fleet.prepare({
       controls: 1,
       proxies: 1,
--- a/test/process/failover.test.ts
+++ b/test/process/failover.test.ts
@@ -1,7 +1,13 @@
 import {afterEach, describe, expect, it} from 'vitest';
 import type pg from 'pg';
 import {Fleet, waitUntil, type FleetPlan} from '../../bench/fleet/fleet';
-import {client, direct, outcome, Relay, SERVICE} from '../support';
+import {
+  connectToProxy,
+  connectToTarget,
+  runQuery,
+  Relay,
+  SERVICE,
+} from '../support';
 
 let fleet: Fleet;
 const relays: Relay[] = [];
@@ -15,7 +21,7 @@
     service: {connections: 12},
     ...plan,
   });
-  const caller = await client(fleet, 0);
+  const caller = await connectToProxy(fleet, 0);
   await caller.query('CREATE TABLE t (id text PRIMARY KEY)');
   await caller.end();
   return fleet;
@@ -26,33 +32,33 @@
   await fleet.stop();
 });
 
-/** Writes without a key until told to stop; what became of each write. */
+/** Writes without a request key until stopped; records each outcome. */
 class Writer {
   readonly done: string[] = [];
   readonly notRun: string[] = [];
   readonly unknown: string[] = [];
   longestGapMs = 0;
-  private stopped = false;
-  private readonly ended: Promise<void>;
+  private isStopped = false;
+  private readonly completion: Promise<void>;
 
   constructor(
     private readonly connection: pg.Client,
     private readonly name: string,
   ) {
-    this.ended = this.run();
+    this.completion = this.run();
   }
 
   async stop(): Promise<void> {
-    this.stopped = true;
-    await this.ended;
+    this.isStopped = true;
+    await this.completion;
     await this.connection.end();
   }
 
   private async run(): Promise<void> {
-    let lastDone = performance.now();
-    for (let count = 0; !this.stopped; count++) {
+    let lastDoneAt = performance.now();
+    for (let count = 0; !this.isStopped; count++) {
       const id = `${this.name}-${count}`;
-      const result = await outcome(
+      const result = await runQuery(
         this.connection,
         'INSERT INTO t VALUES ($1)',
         [id],
@@ -60,8 +66,8 @@
       if (Array.isArray(result)) {
         this.done.push(id);
         const now = performance.now();
-        this.longestGapMs = Math.max(this.longestGapMs, now - lastDone);
-        lastDone = now;
+        this.longestGapMs = Math.max(this.longestGapMs, now - lastDoneAt);
+        lastDoneAt = now;
       } else if (result.startsWith('RN')) this.notRun.push(id);
       else this.unknown.push(id);
       if (result === 'connection lost') return;
@@ -69,23 +75,23 @@
   }
 }
 
-/** Every write that was done is there once, every one not run is not. */
-async function checkPromises(writers: readonly Writer[]): Promise<void> {
-  const reader = await client(fleet, 0);
+/** Checks that writes done are stored and writes not run are not. */
+async function checkWrites(writers: readonly Writer[]): Promise<void> {
+  const reader = await connectToProxy(fleet, 0);
   const {rows} = await reader.query('SELECT id FROM t');
   await reader.end();
   const found = new Set(rows.map(({id}) => id as string));
   const lost = writers.flatMap(({done}) => done.filter(id => !found.has(id)));
-  const back = writers.flatMap(({notRun}) => {
+  const returned = writers.flatMap(({notRun}) => {
     return notRun.filter(id => found.has(id));
   });
-  expect({lost, back}).toEqual({lost: [], back: []});
+  expect({lost, returned}).toEqual({lost: [], returned: []});
 }
 
-async function writersAt(proxies: number): Promise<Writer[]> {
+async function startWriters(proxyCount: number): Promise<Writer[]> {
   return Promise.all(
-    fleet.proxies.slice(0, proxies).map(async (...[{name}, at]) => {
-      return new Writer(await client(fleet, at), name);
+    fleet.proxies.slice(0, proxyCount).map(async (...[{name}, index]) => {
+      return new Writer(await connectToProxy(fleet, index), name);
     }),
   );
 }
@@ -93,29 +99,30 @@
 const sleep = (milliseconds: number) =>
   new Promise(resolve => setTimeout(resolve, milliseconds));
 
-async function throughFault(fault: () => Promise<void>): Promise<Writer[]> {
-  const writers = await writersAt(3);
+async function writeThroughFault(
+  fault: () => Promise<void>,
+): Promise<Writer[]> {
+  const writers = await startWriters(3);
   await sleep(500);
-  const before = (await fleet.primaryOf(SERVICE)).term;
+  const termBefore = (await fleet.primaryOf(SERVICE)).term;
   await fault();
   await waitUntil(async () => {
     const {term, primary} = await fleet.primaryOf(SERVICE);
-    return term > before && primary !== '';
+    return term > termBefore && primary !== '';
   }, 'a new primary');
   await sleep(700);
   await Promise.all(writers.map(writer => writer.stop()));
-  await checkPromises(writers);
+  await checkWrites(writers);
   for (const writer of writers) expect(writer.done.length).toBeGreaterThan(0);
   return writers;
 }
 
-describe('a primary that is lost under load', () => {
-  // The primary's machine dies. Nobody orders anything; every acknowledged
-  // filing must be on the next primary, and the same again for the next one.
-  it('by kill, twice: nothing acknowledged is lost', async () => {
+describe('a primary that fails under load', () => {
+  // Guards against losing acknowledged writes in two successive failovers.
+  it('is replaced twice without losing acknowledged writes', async () => {
     await start();
     const first = (await fleet.primaryOf(SERVICE)).primary;
-    await throughFault(() =>
+    await writeThroughFault(() =>
       fleet
         .target(first)
         .kill()
@@ -125,7 +132,7 @@
     await sleep(1_500);
     const second = (await fleet.primaryOf(SERVICE)).primary;
     expect(second).not.toBe(first);
-    await throughFault(() =>
+    await writeThroughFault(() =>
       fleet
         .target(second)
         .kill()
@@ -133,27 +140,33 @@
     );
   });
 
-  // The primary is frozen and comes back in the middle of what it was doing,
-  // believing that it leads. What it then answers reaches nobody.
-  it('by freeze: what it does when it returns is not acknowledged', async () => {
+  // Guards against acknowledging writes of a former primary that was suspended
+  // and resumes with its old role.
+  it('acknowledges no writes after being suspended and replaced', async () => {
     await start();
     const {primary} = await fleet.primaryOf(SERVICE);
-    await throughFault(async () => fleet.target(primary).sendSignal('SIGSTOP'));
+    await writeThroughFault(async () =>
+      fleet.target(primary).sendSignal('SIGSTOP'),
+    );
     fleet.target(primary).sendSignal('SIGCONT');
-    const old = await direct(fleet.target(primary).port);
+    const oldPrimary = await connectToTarget(fleet.target(primary).port);
     await waitUntil(async () => {
-      const {rows} = await old.query('SELECT role, term FROM group_status');
+      const {rows} = await oldPrimary.query(
+        'SELECT role, term FROM group_status',
+      );
       return rows[0]!.role === 'replica' && Number(rows[0]!.term) >= 2;
     }, 'the old primary to follow');
-    expect(await outcome(old, "INSERT INTO t VALUES ('late')")).toBe('25006');
-    await old.end();
+    expect(await runQuery(oldPrimary, "INSERT INTO t VALUES ('late')")).toBe(
+      '25006',
+    );
+    await oldPrimary.end();
   });
 
-  // Packets to and from the primary vanish: no connection is closed, nothing
-  // is refused. Only silence tells.
-  it('by silent cut from control and proxies', async () => {
+  // A partition drops packets without closing connections, so that only missing
+  // messages reveal it.
+  it('is replaced when partitioned from control and the proxies', async () => {
     const byTarget = new Map<string, Relay[]>();
-    const wanted: {address: string; target: string}[] = [];
+    const observed: {address: string; target: string}[] = [];
     fleet = await Fleet.prepare({
       controls: 3,
       proxies: 3,
@@ -161,13 +174,13 @@
       members: 3,
       service: {connections: 12},
       mapObserver: (address, target) => {
-        wanted.push({address, target});
+        observed.push({address, target});
         return address;
       },
     });
     const ports = new Map<string, number>();
-    for (const {address, target} of wanted) {
-      const relay = await Relay.to(Number(address.split(':')[1]));
+    for (const {address, target} of observed) {
+      const relay = await Relay.start(Number(address.split(':')[1]));
       relays.push(relay);
       ports.set(`${address} ${target}`, relay.port);
       byTarget.set(target, [...(byTarget.get(target) ?? []), relay]);
@@ -185,25 +198,25 @@
     }
     fleet.startAll();
     await fleet.waitUntilReady();
-    const caller = await client(fleet, 0);
+    const caller = await connectToProxy(fleet, 0);
     await caller.query('CREATE TABLE t (id text PRIMARY KEY)');
     await caller.end();
     const {primary} = await fleet.primaryOf(SERVICE);
-    await throughFault(async () => {
-      for (const relay of byTarget.get(primary)!) relay.cut();
+    await writeThroughFault(async () => {
+      for (const relay of byTarget.get(primary)!) relay.partition();
     });
   });
 
-  // The primary dies together with the control leader and a proxy that held a
-  // lease. The next leader must wait the lease out, and then go on.
-  it('together with the control leader and a proxy', async () => {
+  // The new control leader must wait for the failed proxy's lease to expire
+  // before it promotes a member.
+  it('is replaced if the control leader and a proxy also fail', async () => {
     await start();
     await sleep(1_500);
     const leader = fleet.controls.find(({log}) => {
       return log.lastIndexOf('role=leader') > log.lastIndexOf('role=follower');
     })!;
     const {primary} = await fleet.primaryOf(SERVICE);
-    const writers = await writersAt(2);
+    const writers = await startWriters(2);
     await sleep(300);
     await Promise.all([
       fleet.target(primary).kill(),
@@ -215,50 +228,48 @@
     }, 'a new primary');
     await sleep(1_000);
     await Promise.all(writers.map(writer => writer.stop()));
-    await checkPromises(writers);
+    await checkWrites(writers);
   });
 });
 
-describe('a group that cannot be promoted safely', () => {
-  // Two of three members are gone at once, one of them with writes that only
-  // it confirmed. Going on with the third could lose them: the group waits
-  // and says why, while sessions that it knows go on reading.
-  it('waits, says why, and reads go on meanwhile', async () => {
+describe('a service without a safe candidate for promotion', () => {
+  // Guards against promoting the last of three members, which may lack writes
+  // that only a failed replica confirmed.
+  it('promotes no member, logs why and keeps serving reads', async () => {
     await start();
     const {primary} = await fleet.primaryOf(SERVICE);
-    const caller = await client(fleet, 0);
+    const caller = await connectToProxy(fleet, 0);
     await caller.query("INSERT INTO t VALUES ('kept')");
-    const board = await client(fleet, 1, {class: 'review'});
-    expect(await outcome(board, 'SELECT id FROM t')).toEqual([{id: 'kept'}]);
-    const others = fleet.targets.filter(({name}) => name !== primary);
-    // A proxy that dies with its lease leaves unknown what it acknowledged.
+    const reader = await connectToProxy(fleet, 1, {class: 'review'});
+    expect(await runQuery(reader, 'SELECT id FROM t')).toEqual([{id: 'kept'}]);
+    const replicas = fleet.targets.filter(({name}) => name !== primary);
+    // The writes that a failed proxy acknowledged under its lease are unknown.
     await Promise.all([
       fleet.proxies[2]!.kill(),
       fleet.target(primary).kill(),
-      others[0]!.kill(),
+      replicas[0]!.kill(),
     ]);
-    const refused = await outcome(caller, "INSERT INTO t VALUES ('later')");
-    expect(refused).toBe('RN002');
+    const rejected = await runQuery(caller, "INSERT INTO t VALUES ('later')");
+    expect(rejected).toBe('RN002');
     await waitUntil(
       () => fleet.controls.some(({log}) => log.includes('Cannot promote')),
-      'the reason in the log of control',
+      'the reason in the log of a control instance',
     );
-    expect(await outcome(board, 'SELECT id FROM t')).toEqual([{id: 'kept'}]);
-    // One that arrives now cannot be shown that it sees its own writes.
-    const late = await client(fleet, 1, {class: 'review'});
-    expect(await outcome(late, 'SELECT id FROM t')).toBe('RN002');
-    await Promise.all([caller.end(), board.end(), late.end()]);
+    expect(await runQuery(reader, 'SELECT id FROM t')).toEqual([{id: 'kept'}]);
+    // A new session cannot be guaranteed to read its own earlier writes.
+    const newReader = await connectToProxy(fleet, 1, {class: 'review'});
+    expect(await runQuery(newReader, 'SELECT id FROM t')).toBe('RN002');
+    await Promise.all([caller.end(), reader.end(), newReader.end()]);
   });
 });
 
-describe('a planned change', () => {
-  // An operator drains the primary for maintenance during the day: running
-  // writes end first, so nobody is told "unknown".
-  it('leaves no write unknown', async () => {
+describe('a planned change of primary', () => {
+  // Pending writes must complete before the drained primary is replaced.
+  it('leaves no write with an unknown outcome', async () => {
     await start();
     const {primary} = await fleet.primaryOf(SERVICE);
-    const writers = await throughFault(async () => {
-      const target = await direct(fleet.target(primary).port);
+    const writers = await writeThroughFault(async () => {
+      const target = await connectToTarget(fleet.target(primary).port);
       await target.query("SET member.leaving = 'on'");
       await target.end();
     });
@@ -266,25 +277,29 @@
   });
 });
 
-describe('request keys over a change of primary', () => {
-  // A lodgement with a key is under way when the primary dies. Whatever the
-  // proxy had sent, it ends up done exactly once, without the caller's help.
-  it('settle every outcome: done exactly once', async () => {
+describe('writes with a request key', () => {
+  // Guards against losing or doubling a write that is pending when the primary
+  // fails; the proxy retries it without involving the caller.
+  it('are run exactly once across a failover', async () => {
     await start();
     const {primary} = await fleet.primaryOf(SERVICE);
     const callers = await Promise.all(
-      Array.from({length: 9}, (...[, at]) => client(fleet, at % 3)),
+      Array.from({length: 9}, (...[, index]) =>
+        connectToProxy(fleet, index % 3),
+      ),
     );
     let stopped = false;
     let done = 0;
-    const unsettled: unknown[] = [];
-    const work = callers.map(async (caller, who) => {
+    const failures: unknown[] = [];
+    const loops = callers.map(async (caller, callerIndex) => {
       for (let count = 0; !stopped; count++) {
-        const id = `${who}-${count}`;
+        const id = `${callerIndex}-${count}`;
         await caller.query(`SET bulrush.request_key = '${id}'`);
-        const answer = await outcome(caller, 'INSERT INTO t VALUES ($1)', [id]);
-        if (Array.isArray(answer)) done++;
-        else unsettled.push(answer);
+        const result = await runQuery(caller, 'INSERT INTO t VALUES ($1)', [
+          id,
+        ]);
+        if (Array.isArray(result)) done++;
+        else failures.push(result);
       }
     });
     await sleep(400);
@@ -294,8 +309,8 @@
     }, 'a new primary');
     await sleep(800);
     stopped = true;
-    await Promise.all(work);
-    expect(unsettled).toEqual([]);
+    await Promise.all(loops);
+    expect(failures).toEqual([]);
     const {rows} = await callers[0]!.query('SELECT count(*) AS n FROM t');
     expect(Number(rows[0]!.n)).toBe(done);
     await Promise.all(callers.map(caller => caller.end()));
--- a/test/support.ts
+++ b/test/support.ts
@@ -9,30 +9,30 @@
 
 export const SERVICE = 'accounts';
 
-/** A client of a proxy, by the proxy's place in the fleet. */
-export async function client(
+/** Connects to a proxy, given by its index in the fleet. */
+export async function connectToProxy(
   fleet: Fleet,
-  proxy: number,
+  proxyIndex: number,
   options: Readonly<Record<string, string>> = {},
   user = 'tester',
 ): Promise<pg.Client> {
-  const text = Object.entries(options).map(([name, value]) => {
+  const settings = Object.entries(options).map(([name, value]) => {
     return `-c bulrush.${name}=${value}`;
   });
   const connection = new pg.Client({
     host: '127.0.0.1',
-    port: fleet.proxies[proxy]!.port,
+    port: fleet.proxies[proxyIndex]!.port,
     user,
     database: SERVICE,
-    options: text.join(' '),
+    options: settings.join(' '),
   });
   connection.on('error', () => {});
   await connection.connect();
   return connection;
 }
 
-/** A client of a target, past the proxies. */
-export async function direct(port: number): Promise<pg.Client> {
+/** Connects to a target directly, bypassing the proxies. */
+export async function connectToTarget(port: number): Promise<pg.Client> {
   const connection = new pg.Client({
     host: '127.0.0.1',
     port,
@@ -44,8 +44,8 @@
   return connection;
 }
 
-/** What a statement came to: its rows, or the SQLSTATE it failed with. */
-export async function outcome(
+/** Runs a statement; returns its rows or the SQLSTATE of its error. */
+export async function runQuery(
   connection: pg.Client,
   text: string,
   values: unknown[] = [],
@@ -57,36 +57,36 @@
   }
 }
 
-/** A relay of bytes that can go silent without closing anything. */
+/** A TCP relay that can simulate a network partition. */
 export class Relay {
   private readonly sockets = new Set<Socket>();
-  private silent = false;
+  private isPartitioned = false;
 
   private constructor(
     private readonly server: Server,
     readonly port: number,
   ) {}
 
-  static async to(port: number): Promise<Relay> {
+  static async start(targetPort: number): Promise<Relay> {
     const server = createServer();
     await new Promise<void>(resolve => {
       server.listen(0, '127.0.0.1', resolve);
     });
     const address = server.address();
-    const own = typeof address === 'object' && address ? address.port : 0;
-    const relay = new Relay(server, own);
-    server.on('connection', socket => relay.join(socket, port));
+    const ownPort = typeof address === 'object' && address ? address.port : 0;
+    const relay = new Relay(server, ownPort);
+    server.on('connection', socket => relay.accept(socket, targetPort));
     return relay;
   }
 
-  /** Drops everything from now on, in both directions, in silence. */
-  cut(): void {
-    this.silent = true;
+  /** Stops forwarding in both directions without closing connections. */
+  partition(): void {
+    this.isPartitioned = true;
     for (const socket of this.sockets) socket.pause();
   }
 
   heal(): void {
-    this.silent = false;
+    this.isPartitioned = false;
     for (const socket of this.sockets) socket.destroy();
   }
 
@@ -95,20 +95,20 @@
     for (const socket of this.sockets) socket.destroy();
   }
 
-  private join(near: Socket, port: number): void {
-    const far = createConnection(port, '127.0.0.1');
-    this.link(near, far);
-    this.link(far, near);
+  private accept(client: Socket, targetPort: number): void {
+    const upstream = createConnection(targetPort, '127.0.0.1');
+    this.forward(client, upstream);
+    this.forward(upstream, client);
   }
 
-  private link(from: Socket, to: Socket): void {
+  private forward(from: Socket, to: Socket): void {
     this.sockets.add(from);
-    if (this.silent) from.pause();
+    if (this.isPartitioned) from.pause();
     from.on('data', chunk => to.write(chunk));
     from.on('error', () => from.destroy());
     from.on('close', () => {
       this.sockets.delete(from);
-      if (!this.silent) to.destroy();
+      if (!this.isPartitioned) to.destroy();
     });
   }
 }
