--- a/bench/fleet/fleet.ts
+++ b/bench/fleet/fleet.ts
@@ -43,7 +43,7 @@
     private args: readonly string[],
   ) {}
 
-  /** Transforms the arguments for the next start of the process. */
+  /** Transforms the arguments; applies from the next start. */
   mapArguments(transform: (argument: string) => string): void {
     this.args = this.args.map(transform);
   }
--- a/src/load/node/load_run.ts
+++ b/src/load/node/load_run.ts
@@ -3,6 +3,7 @@
 import {arrivalTimes, type LoadClass} from '../common/plan';
 import {LoadClient} from './load_client';
 
+/** Table that the load writes to and reads from. */
 export const LOAD_TABLE = 'bulrush_load';
 const TIMELINE_STEP_MS = 100;
 const RECONNECT_DELAY_MS = 50;
--- a/src/standin/common/group_log.ts
+++ b/src/standin/common/group_log.ts
@@ -22,6 +22,7 @@
     return {term: entry?.term ?? 0, offset: this.lastOffset};
   }
 
+  /** Appends the next entry; throws if its offset leaves a gap. */
   append(entry: LogEntry): void {
     if (entry.offset !== this.lastOffset + 1) {
       throw new Error(`log has a gap before offset ${entry.offset}`);
@@ -34,6 +35,7 @@
     return this.entries.slice(offset, offset + maxCount);
   }
 
+  /** Removes all entries after an offset. */
   truncateAfter(offset: number): void {
     this.entries.length = Math.min(this.entries.length, offset);
   }
--- a/src/standin/common/tables.ts
+++ b/src/standin/common/tables.ts
@@ -34,6 +34,7 @@
   readonly version: number;
 }
 
+/** A table definition with its committed rows by key. */
 export interface Table {
   readonly name: string;
   readonly columns: readonly TableColumn[];
--- a/src/standin/common/transaction.ts
+++ b/src/standin/common/transaction.ts
@@ -131,6 +131,7 @@
   }
 }
 
+/** Creates the error for an insert whose key already exists. */
 export function uniqueViolationError(
   table: string,
   key: string,
--- a/src/standin/node/group_member.ts
+++ b/src/standin/node/group_member.ts
@@ -248,6 +248,7 @@
   }
 }
 
+/** Creates the error for a write on a member that is not the primary. */
 export function readOnlyError(): DatabaseError {
   return new DatabaseError(READ_ONLY, 'this member is not the primary');
 }
--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -11,7 +11,7 @@
   const folder = join('config', user);
   const overlays = readdirSync(folder).filter(name => name !== 'base.ini');
 
-  it('are valid at each of its three sites', () => {
+  it('are valid at all three sites', () => {
     expect(overlays).toHaveLength(3);
     for (const overlay of overlays) {
       const loaded = loadSettings(
--- a/test/process/control.test.ts
+++ b/test/process/control.test.ts
@@ -91,7 +91,7 @@
 
   // Guards against losing one of several concurrent changes with the same base
   // version without telling its operator.
-  it('based on one version: one is accepted, the others name it', async () => {
+  it('are accepted once per base version, naming the winner', async () => {
     await start();
     const files = [3_000, 4_000, 5_000, 6_000].map(writeVariant);
     const results = await Promise.all(
--- a/test/support.ts
+++ b/test/support.ts
@@ -7,6 +7,7 @@
 import pg from 'pg';
 import type {Fleet} from '../bench/fleet/fleet';
 
+/** Name of the service in the test fleets. */
 export const SERVICE = 'accounts';
 
 /** Connects to a proxy, given by its index in the fleet. */
