--- a/src/control/node/control_log.ts
+++ b/src/control/node/control_log.ts
@@ -5,25 +5,25 @@
 
 type Body = NonNullable<Command['body']>;
 
-/** Puts commands into the log, one at a time for each purpose. */
+/** Proposes commands to the replicated log, one at a time per purpose. */
 export class ControlLog {
   private readonly pending = new Set<string>();
 
   constructor(private readonly node: ConsensusNode) {}
 
-  /** Puts a command in; the index once it is committed. */
+  /** Proposes a command; resolves to its log index once it is committed. */
   propose(body: Body): Promise<Result<number, RefusalReason>> {
     const command = {wallTimeMs: Date.now(), body};
     const bytes = Command.encode(command).finish();
     return this.node.propose(Buffer.from(bytes));
   }
 
-  /** Whether a command for a purpose is under way. */
+  /** Whether a proposal for the purpose is pending. */
   isPending(purpose: string): boolean {
     return this.pending.has(purpose);
   }
 
-  /** Puts a command in; false where one for this purpose is under way. */
+  /** Proposes a command; false if one for the purpose is already pending. */
   proposeOnce(purpose: string, body: Body): boolean {
     if (this.pending.has(purpose)) return false;
     this.pending.add(purpose);
--- a/src/control/node/control_state_machine.ts
+++ b/src/control/node/control_state_machine.ts
@@ -5,7 +5,7 @@
 } from '../../services/control_state/common/control_machine';
 import {Command, ControlState} from '../../schema/generated/control';
 
-/** The control state as the log's state machine, in protobuf. */
+/** Applies protobuf commands of the replicated log to the control state. */
 export class ControlStateMachine implements StateMachine {
   readonly machine = new ControlMachine();
 
--- a/src/control/node/failover_driver.ts
+++ b/src/control/node/failover_driver.ts
@@ -25,24 +25,24 @@
 } from '../../schema/generated/control';
 import type {ControlLog} from './control_log';
 
-const REPEAT_ORDER_MS = 150;
-/** A change that waits this long for members is reported as blocked. */
-const BLOCKED_PATIENCE_MS = 1_000;
+const ORDER_RETRY_INTERVAL_MS = 150;
+/** Changes are often blocked for a moment, until members reply. */
+const BLOCKED_REPORT_DELAY_MS = 1_000;
 
-interface SeenPhase {
+interface ObservedPhase {
   readonly term: number;
   readonly phase: Phase;
-  readonly at: number;
+  readonly firstSeenAt: number;
 }
 
 interface BlockedChange {
   readonly term: number;
-  readonly since: number;
-  reported: string;
+  readonly blockedAt: number;
+  reportedReason: string;
 }
 
-/** What the driver asks of its surroundings. */
-export interface FailoverSurroundings {
+/** What the failover driver needs from its leadership. */
+export interface FailoverDependencies {
   readonly machine: ControlMachine;
   readonly directory: TargetDirectory;
   readonly observer: AnnouncementObserver;
@@ -52,46 +52,46 @@
   settings(): Settings;
 }
 
-/** Carries out the failover decisions of one leadership. */
+/** Makes and carries out failover decisions during one leadership. */
 export class FailoverDriver {
-  private readonly orderedAt = new Map<string, number>();
+  private readonly orderSentAt = new Map<string, number>();
   private readonly closedTerms = new Map<string, number>();
   private readonly forcedTerms = new Map<string, number>();
-  private readonly phases = new Map<string, SeenPhase>();
-  private readonly blocked = new Map<string, BlockedChange>();
+  private readonly phases = new Map<string, ObservedPhase>();
+  private readonly blockedChanges = new Map<string, BlockedChange>();
   private lastOrderId = 0;
 
   constructor(
-    private readonly around: FailoverSurroundings,
-    private readonly leaderSince: number,
+    private readonly dependencies: FailoverDependencies,
+    private readonly becameLeaderAt: number,
     private readonly logger: Log,
   ) {}
 
-  /** Decides and acts for every service. */
+  /** Decides for each service and performs the resulting actions. */
   drive(): void {
-    for (const record of this.around.machine.state.services) {
-      const view = this.viewOf(record);
+    for (const record of this.dependencies.machine.state.services) {
+      const view = this.makeView(record);
       if (!view) continue;
-      for (const action of decideFailover(view)) this.act(view, action);
+      for (const action of decideFailover(view)) this.perform(view, action);
     }
   }
 
-  /** Whether nobody can acknowledge a write below the term being begun. */
+  /** Whether no write of an earlier term can be acknowledged any more. */
   isClosed(record: ServiceRecord): boolean {
     return this.closedTerms.get(record.name) === record.term;
   }
 
-  /** Lets the change that is under way pass without the safety rule. */
+  /** Lets the pending change complete without the safety checks. */
   force(service: string): boolean {
-    const record = this.around.machine.service(service);
+    const record = this.dependencies.machine.service(service);
     if (!record) return false;
     this.forcedTerms.set(service, record.term);
     return true;
   }
 
-  private viewOf(record: ServiceRecord): FailoverView | undefined {
-    const {machine, leases, clock} = this.around;
-    const {services, system} = this.around.settings();
+  private makeView(record: ServiceRecord): FailoverView | undefined {
+    const {machine, leases, clock} = this.dependencies;
+    const {services, system} = this.dependencies.settings();
     const settings = services.get(serviceName(record.name));
     if (!settings) return undefined;
     const now = clock.now();
@@ -103,8 +103,8 @@
       maxSilenceMs: system.silenceMs,
       maxLeaseMs: system.leaseMs * drift,
       now,
-      leaderSince: this.leaderSince,
-      phaseAgeMs: now - this.phaseSeenAt(record, now),
+      leaderSince: this.becameLeaderAt,
+      phaseAgeMs: now - this.phaseFirstSeenAt(record, now),
       targets: this.targetsOf(record, now),
       proxies: machine.state.proxies.map(proxy => {
         return leases.viewOf(proxy, record.name, now);
@@ -113,32 +113,32 @@
     };
   }
 
-  private phaseSeenAt(record: ServiceRecord, now: number): number {
+  private phaseFirstSeenAt(record: ServiceRecord, now: number): number {
     const {name, term, phase} = record;
     const seen = this.phases.get(name);
-    if (seen?.term === term && seen.phase === phase) return seen.at;
-    this.phases.set(name, {term, phase, at: now});
+    if (seen?.term === term && seen.phase === phase) return seen.firstSeenAt;
+    this.phases.set(name, {term, phase, firstSeenAt: now});
     return now;
   }
 
   private targetsOf(record: ServiceRecord, now: number): TargetView[] {
-    const {directory} = this.around;
+    const {directory} = this.dependencies;
     const observed = directory.targetsOf(serviceName(record.name));
     const byInstance = new Map(
       observed.map(target => [String(target.key.instance), target]),
     );
     return record.members.map(member => {
-      return viewOfTarget(member, byInstance.get(member.instance), now);
+      return makeTargetView(member, byInstance.get(member.instance), now);
     });
   }
 
-  private act(view: FailoverView, action: FailoverAction): void {
+  private perform(view: FailoverView, action: FailoverAction): void {
     const {name: service, term} = view.record;
     switch (action.kind) {
       case 'begin':
-        return this.begin(view.record, action);
+        return this.beginChange(view.record, action);
       case 'complete':
-        return this.complete(view.record, action);
+        return this.completeChange(view.record, action);
       case 'closed':
         this.closedTerms.set(service, term);
         return;
@@ -148,17 +148,20 @@
       case 'promote': {
         const {instance} = action;
         const value = {term};
-        return this.order(view.record, instance, {$case: action.kind, value});
+        return this.sendOrder(view.record, instance, {
+          $case: action.kind,
+          value,
+        });
       }
       case 'follow': {
         const {instance, replicationAddress} = action;
         const value = {term, replicationAddress};
-        return this.order(view.record, instance, {$case: 'follow', value});
+        return this.sendOrder(view.record, instance, {$case: 'follow', value});
       }
     }
   }
 
-  private begin(
+  private beginChange(
     record: ServiceRecord,
     action: FailoverAction & {kind: 'begin'},
   ): void {
@@ -166,7 +169,7 @@
     const service = record.name;
     const fromTerm = record.term;
     const value = {service, fromTerm, cause, inputs, planned, term};
-    const isNew = this.around.log.proposeOnce(`change ${service}`, {
+    const isNew = this.dependencies.log.proposeOnce(`change ${service}`, {
       $case: 'beginChange',
       value,
     });
@@ -174,7 +177,7 @@
     this.logger.info('Begins a change of primary.', {service, term, cause});
   }
 
-  private complete(
+  private completeChange(
     record: ServiceRecord,
     action: FailoverAction & {kind: 'complete'},
   ): void {
@@ -189,7 +192,7 @@
       baseTerm: base.term,
       inputs,
     };
-    const isNew = this.around.log.proposeOnce(`change ${service}`, {
+    const isNew = this.dependencies.log.proposeOnce(`change ${service}`, {
       $case: 'completeChange',
       value,
     });
@@ -199,16 +202,19 @@
 
   private onBlocked(record: ServiceRecord, reason: string): void {
     const {term, name: service} = record;
-    const now = this.around.clock.now();
-    const known = this.blocked.get(service);
-    if (known?.term !== term) {
-      this.blocked.set(service, {term, since: now, reported: ''});
+    const now = this.dependencies.clock.now();
+    const change = this.blockedChanges.get(service);
+    if (change?.term !== term) {
+      this.blockedChanges.set(service, {
+        term,
+        blockedAt: now,
+        reportedReason: '',
+      });
       return;
     }
-    // A change is blocked for a moment each time, until members answer.
-    if (now - known.since < BLOCKED_PATIENCE_MS) return;
-    if (known.reported === reason) return;
-    known.reported = reason;
+    if (now - change.blockedAt < BLOCKED_REPORT_DELAY_MS) return;
+    if (change.reportedReason === reason) return;
+    change.reportedReason = reason;
     this.logger.warn('Cannot promote safely.', {service, reason});
     const value = {
       subject: `service ${service}`,
@@ -216,20 +222,20 @@
       cause: reason,
       inputs: '',
     };
-    void this.around.log.propose({$case: 'record', value});
+    void this.dependencies.log.propose({$case: 'record', value});
   }
 
-  private order(
+  private sendOrder(
     record: ServiceRecord,
     instance: string,
     action: NonNullable<Order['action']>,
   ): void {
-    const {clock, observer} = this.around;
+    const {clock, observer} = this.dependencies;
     const name = `${record.name}/${instance} ${action.$case} ${record.term}`;
     const now = clock.now();
-    const last = this.orderedAt.get(name) ?? -Infinity;
-    if (now - last < REPEAT_ORDER_MS) return;
-    this.orderedAt.set(name, now);
+    const lastSentAt = this.orderSentAt.get(name) ?? -Infinity;
+    if (now - lastSentAt < ORDER_RETRY_INTERVAL_MS) return;
+    this.orderSentAt.set(name, now);
     const key = {
       service: serviceName(record.name),
       instance: instanceId(instance),
@@ -238,7 +244,7 @@
   }
 }
 
-function viewOfTarget(
+function makeTargetView(
   {instance, draining, incarnation: firstIncarnation}: MemberRecord,
   target: TargetObservation | undefined,
   now: number,
--- a/src/control/node/leadership.ts
+++ b/src/control/node/leadership.ts
@@ -15,13 +15,13 @@
 import type {TargetStatus} from '../../schema/generated/announcement';
 import {ControlLog} from './control_log';
 import {FailoverDriver} from './failover_driver';
-import {forgetPurpose, ProxyAttachments} from './proxy_attachments';
+import {removalPurpose, ProxyAttachments} from './proxy_attachments';
 
-/** A proxy that was away for this long, without a lease, is forgotten. */
-const FORGET_PROXY_MS = 30_000;
+/** A proxy that sends nothing for this long is removed from the log. */
+const PROXY_EXPIRY_MS = 30_000;
 
-/** What a leadership is built on. */
-export interface LeadershipSurroundings {
+/** What a leadership needs from the control instance. */
+export interface LeadershipDependencies {
   readonly machine: ControlMachine;
   readonly directory: TargetDirectory;
   readonly observer: AnnouncementObserver;
@@ -30,65 +30,68 @@
   settings(): Settings;
 }
 
-/** Everything that a control instance does only while it leads. */
+/** The work of a control instance for one term as consensus leader. */
 export class Leadership {
   readonly leases: LeaseRegistry;
   readonly attachments: ProxyAttachments;
   readonly log: ControlLog;
   private readonly driver: FailoverDriver;
   private readonly joiners = new Map<string, Joiner>();
-  private changingMembers = false;
+  private isChangingMembers = false;
 
   constructor(
-    private readonly around: LeadershipSurroundings,
-    private readonly since: number,
+    private readonly dependencies: LeadershipDependencies,
+    private readonly becameLeaderAt: number,
   ) {
-    const {system} = around.settings();
+    const {system} = dependencies.settings();
     const logger = createLog('control');
     this.leases = new LeaseRegistry({
       silenceMs: system.silenceMs,
       unconfirmedMs: system.silenceMs * 2,
     });
-    this.log = new ControlLog(around.node);
-    const shared = {...around, leases: this.leases, log: this.log};
-    this.driver = new FailoverDriver(shared, since, logger);
+    this.log = new ControlLog(dependencies.node);
+    const shared = {...dependencies, leases: this.leases, log: this.log};
+    this.driver = new FailoverDriver(shared, becameLeaderAt, logger);
     this.attachments = new ProxyAttachments(
       {
         ...shared,
         leaseMs: system.leaseMs,
         isClosed: record => this.driver.isClosed(record),
-        onDidHear: () => this.drive(),
+        onDidReceiveReport: () => this.drive(),
       },
       logger,
     );
   }
 
-  /** Looks at everything again; called on a timer and on news. */
+  /** Makes failover decisions and sends changes; on a timer and on updates. */
   drive(): void {
-    if (!this.around.node.core.isLeaderReady) return;
+    if (!this.dependencies.node.core.isLeaderReady) return;
     this.driver.drive();
     this.attachments.pushChanges();
   }
 
-  /** Work that may wait a little longer. */
-  tend(): void {
-    if (!this.around.node.core.isLeaderReady) return;
-    // Targets that announced themselves before this instance led.
-    for (const {status} of this.around.directory.all()) this.onTarget(status);
-    this.tendMembership();
-    this.forgetProxies();
+  /** Reconciles registered members, voters and proxies; less urgent. */
+  reconcile(): void {
+    if (!this.dependencies.node.core.isLeaderReady) return;
+    // Includes targets that announced themselves before this term.
+    for (const {status} of this.dependencies.directory.all()) {
+      this.onTargetStatus(status);
+    }
+    this.reconcileMembership();
+    this.removeExpiredProxies();
   }
 
-  onTarget(status: TargetStatus): void {
-    const known = this.around.machine.service(status.service);
-    const member = known?.members.find(({instance}) => {
+  onTargetStatus(status: TargetStatus): void {
+    const record = this.dependencies.machine.service(status.service);
+    const member = record?.members.find(({instance}) => {
       return instance === status.instance;
     });
-    if (!this.isOffered(status)) return;
+    if (!this.isConfigured(status)) return;
     const {service, instance, site, incarnation} = status;
-    const forming = known?.phase === Phase.PHASE_FORMING;
+    const isForming = record?.phase === Phase.PHASE_FORMING;
     const isKnown =
-      member?.site === site && (!forming || member.incarnation === incarnation);
+      member?.site === site &&
+      (!isForming || member.incarnation === incarnation);
     if (isKnown) return;
     this.log.proposeOnce(`member ${service}/${instance}`, {
       $case: 'registerMember',
@@ -99,11 +102,11 @@
     });
   }
 
-  onJoin(joiner: Joiner): void {
+  onJoinRequest(joiner: Joiner): void {
     this.joiners.set(joiner.id, joiner);
   }
 
-  /** Lets a blocked change pass; false for an unknown service. */
+  /** Unblocks a change of primary; false for an unknown service. */
   force(service: string): boolean {
     return this.driver.force(service);
   }
@@ -112,19 +115,19 @@
     this.attachments.endAll();
   }
 
-  private isOffered({service}: TargetStatus): boolean {
-    return this.around.settings().services.has(serviceName(service));
+  private isConfigured({service}: TargetStatus): boolean {
+    return this.dependencies.settings().services.has(serviceName(service));
   }
 
-  private tendMembership(): void {
-    const {node, settings} = this.around;
+  private reconcileMembership(): void {
+    const {node, settings} = this.dependencies;
     const {core} = node;
-    if (this.changingMembers || !core.isConfigurationCommitted) return;
-    // An instance that still wants in asks again. Keeping the word of one
-    // that is gone would take its lost folder back in for the new one.
+    if (this.isChangingMembers || !core.isConfigurationCommitted) return;
+    // An instance that still wants to join retries. A kept request of one that
+    // is gone would bring its lost data folder back instead of the new one.
     const joiners = [...this.joiners.values()];
     this.joiners.clear();
-    const next = planMembership({
+    const nextConfiguration = planMembership({
       configuration: core.configuration,
       allowedInstances: new Set(
         settings().control.map(({instance}) => instance),
@@ -133,20 +136,23 @@
       commitIndex: core.commitIndex,
       matchIndexOf: id => core.matchIndexOf(id),
     });
-    if (!next) return;
-    this.changingMembers = true;
-    void node.changeConfiguration(next).then(() => {
-      this.changingMembers = false;
+    if (!nextConfiguration) return;
+    this.isChangingMembers = true;
+    void node.changeConfiguration(nextConfiguration).then(() => {
+      this.isChangingMembers = false;
     });
   }
 
-  private forgetProxies(): void {
-    const now = this.around.clock.now();
-    for (const proxy of this.around.machine.state.proxies) {
-      const seen = Math.max(this.leases.lastHeardAt(proxy), this.since);
-      if (now - seen < FORGET_PROXY_MS) continue;
+  private removeExpiredProxies(): void {
+    const now = this.dependencies.clock.now();
+    for (const proxy of this.dependencies.machine.state.proxies) {
+      const lastSeenAt = Math.max(
+        this.leases.lastHeardAt(proxy),
+        this.becameLeaderAt,
+      );
+      if (now - lastSeenAt < PROXY_EXPIRY_MS) continue;
       this.leases.forget(proxy);
-      this.log.proposeOnce(forgetPurpose(proxy), {
+      this.log.proposeOnce(removalPurpose(proxy), {
         $case: 'forgetProxy',
         value: {proxy},
       });
--- a/src/control/node/main.ts
+++ b/src/control/node/main.ts
@@ -41,8 +41,8 @@
 import {PeerTransport} from './peer_transport';
 import {SettingsInForce} from './settings_in_force';
 
-const DRIVE_MS = 20;
-const TEND_MS = 200;
+const DRIVE_INTERVAL_MS = 20;
+const RECONCILE_INTERVAL_MS = 200;
 const ENTRIES_PER_SNAPSHOT = 1_000;
 
 interface Arguments {
@@ -57,21 +57,23 @@
 async function main(args: Arguments): Promise<void> {
   configureLogs(args.jsonLogs ? 'json' : 'text', args.verbose);
   const log = createLog('control');
-  const own = checkedSettings(args.settings);
-  const self = own.control.find(({instance}) => instance === args.instance);
+  const fileSettings = loadSettingsOrExit(args.settings);
+  const self = fileSettings.control.find(
+    ({instance}) => instance === args.instance,
+  );
   if (!self) {
-    const names = own.control.map(({instance}) => instance).join(', ');
-    fail(EXIT_USAGE, [`--instance ${args.instance}: allowed: ${names}`]);
+    const names = fileSettings.control.map(({instance}) => instance).join(', ');
+    fail(EXIT_USAGE, [`--instance ${args.instance} is not one of: ${names}`]);
   }
   const signal = stopSignal();
   const clock = new MonotonicClock();
-  const {core, storage} = await openCore(args, own, self.address);
+  const {core, storage} = await openConsensus(args, fileSettings, self.address);
   const stateMachine = new ControlStateMachine();
   stateMachine.restore(core.baseSnapshot.state);
   const {machine} = stateMachine;
 
   let leadership: Leadership | undefined;
-  const settings = new SettingsInForce(machine, own);
+  const settings = new SettingsInForce(machine, fileSettings);
   const transport = new PeerTransport(self.address, signal);
   const node: ConsensusNode = new ConsensusNode(
     core,
@@ -80,10 +82,12 @@
     transport,
     {
       onDidChangeRole: role => {
-        log.info('Changed its part.', {role, term: core.currentTerm});
+        log.info('The consensus role changed.', {role, term: core.currentTerm});
         leadership?.end();
         leadership =
-          role === 'leader' ? new Leadership(around, clock.now()) : undefined;
+          role === 'leader'
+            ? new Leadership(dependencies, clock.now())
+            : undefined;
       },
       onDidApply: () => leadership?.drive(),
       onDidFail: ({kind, detail}) => {
@@ -96,13 +100,13 @@
   const directory = new TargetDirectory();
   const observer = new AnnouncementObserver(directory, clock, {
     onDidChangeTarget: (...[, status]) => {
-      if (status) leadership?.onTarget(status);
+      if (status) leadership?.onTargetStatus(status);
       leadership?.drive();
     },
     onDidSample: () => {},
     onDidAnswerOrder: () => leadership?.drive(),
   });
-  const around = {
+  const dependencies = {
     machine,
     directory,
     observer,
@@ -117,7 +121,7 @@
     node,
     settings,
     leadership: () => (core.isLeaderReady ? leadership : undefined),
-    leaderAddress: () => addressOf(core),
+    leaderAddress: () => leaderAddressOf(core),
     now: () => clock.now(),
   });
   const server = createServer();
@@ -130,19 +134,19 @@
   const listening = await listen(server, self.address, signal);
   if (listening.isErr) fail(EXIT_UNAVAILABLE, [listening.error.message]);
 
-  observer.start(own.system.pingMs, signal);
-  every(signal, DRIVE_MS, () => leadership?.drive());
-  every(signal, TEND_MS, () => leadership?.tend());
-  const joiner = {id: core.id, address: self.address};
-  const others = own.control.filter(other => other !== self);
-  const addresses = others.map(({address}) => address);
-  const settled = () => isSettled(core, self.address);
-  requestJoinUntilVoter(joiner, addresses, settled, transport, signal);
+  observer.start(fileSettings.system.pingMs, signal);
+  every(signal, DRIVE_INTERVAL_MS, () => leadership?.drive());
+  every(signal, RECONCILE_INTERVAL_MS, () => leadership?.reconcile());
+  const joinRequest = {id: core.id, address: self.address};
+  const otherInstances = fileSettings.control.filter(other => other !== self);
+  const addresses = otherInstances.map(({address}) => address);
+  const isVoter = () => isVoterAt(core, self.address);
+  requestJoinUntilVoter(joinRequest, addresses, isVoter, transport, signal);
   log.info('Ready.', {id: core.id, address: self.address});
   await node.start(signal);
 }
 
-function checkedSettings(file: string): Settings {
+function loadSettingsOrExit(file: string): Settings {
   const settings = loadSettings(file, '');
   if (settings.isErr) {
     fail(EXIT_SETTINGS, settings.error.map(formatSettingsError));
@@ -150,7 +154,11 @@
   return settings.value;
 }
 
-async function openCore(args: Arguments, own: Settings, address: string) {
+async function openConsensus(
+  args: Arguments,
+  settings: Settings,
+  address: string,
+) {
   const opened = await LogStorage.open(args.data, args.instance);
   if (opened.isErr) {
     const {kind, detail} = opened.error;
@@ -158,10 +166,10 @@
   }
   const {storage, id} = opened.value;
   let {persisted} = opened.value;
-  // With several instances only one may start a system, and only when it is
-  // told to: two that did so by themselves would be two systems.
-  const starts = args.bootstrap || own.control.length === 1;
-  if (!persisted && starts) {
+  // Of several instances only the one with --bootstrap creates the group; two
+  // instances that did so on their own would be two separate groups.
+  const startsGroup = args.bootstrap || settings.control.length === 1;
+  if (!persisted && startsGroup) {
     persisted = singlePeerState({id, address, voter: true});
     const {snapshot} = persisted;
     const installed = await storage.install(snapshot, []);
@@ -170,19 +178,19 @@
   const core = new Consensus(
     id,
     persisted ?? emptyState(),
-    own.system,
+    settings.system,
     new SeededRandom(randomInt(2 ** 31)),
   );
   return {core, storage};
 }
 
-function isSettled(core: Consensus, address: string): boolean {
+function isVoterAt(core: Consensus, address: string): boolean {
   return core.configuration.peers.some(peer => {
     return peer.id === core.id && peer.voter && peer.address === address;
   });
 }
 
-function addressOf(core: Consensus): string {
+function leaderAddressOf(core: Consensus): string {
   const {peers} = core.configuration;
   return peers.find(({id}) => id === core.leader)?.address ?? '';
 }
@@ -194,15 +202,15 @@
 ): ConsensusServer {
   return {
     deliver(call, respond) {
-      transport.learn(call.request);
+      transport.recordAddress(call.request);
       node.receive(call.request);
       respond(null, {});
     },
     join(call, respond) {
       const {core} = node;
       const accepted = core.role === 'leader';
-      if (accepted) leadership()?.onJoin(call.request);
-      respond(null, {accepted, leaderAddress: addressOf(core)});
+      if (accepted) leadership()?.onJoinRequest(call.request);
+      respond(null, {accepted, leaderAddress: leaderAddressOf(core)});
     },
   };
 }
@@ -210,12 +218,12 @@
 const program = command({
   name: 'bulrushstage-control',
   version: VERSION,
-  description: 'One instance of control: the replicated log and decisions.',
+  description: 'Runs one instance of control: replicated log and failover.',
   args: {
     settings: option({
       long: 'settings',
       type: string,
-      description: 'base file of the settings',
+      description: 'base settings file',
     }),
     instance: option({
       long: 'instance',
@@ -225,10 +233,10 @@
     data: option({long: 'data', type: string, description: 'data folder'}),
     bootstrap: flag({
       long: 'bootstrap',
-      description: 'start a new system where the data folder is empty',
+      description: 'create a new system if the data folder is empty',
     }),
-    jsonLogs: flag({long: 'json-logs', description: 'log lines as JSON'}),
-    verbose: flag({long: 'verbose', description: 'log more'}),
+    jsonLogs: flag({long: 'json-logs', description: 'write log lines as JSON'}),
+    verbose: flag({long: 'verbose', description: 'write debug lines too'}),
   },
   handler: main,
 });
--- a/src/control/node/operator_service.ts
+++ b/src/control/node/operator_service.ts
@@ -16,13 +16,13 @@
 import type {Leadership} from './leadership';
 import type {SettingsInForce} from './settings_in_force';
 
-/** What the service answers from. */
-export interface OperatorSurroundings {
+/** What the service needs from the control instance. */
+export interface OperatorDependencies {
   readonly instance: string;
   readonly machine: ControlMachine;
   readonly node: ConsensusNode;
   readonly settings: SettingsInForce;
-  /** The leadership of this instance, while it leads. */
+  /** The current leadership, or undefined while not leader. */
   leadership(): Leadership | undefined;
   leaderAddress(): string;
   now(): number;
@@ -31,9 +31,9 @@
 type Respond<T> = sendUnaryData<T>;
 type Body = NonNullable<Command['body']>;
 
-/** The gRPC service of control towards proxies and operators. */
+/** The gRPC service that control offers to proxies and operators. */
 export class OperatorService {
-  constructor(private readonly around: OperatorSurroundings) {}
+  constructor(private readonly dependencies: OperatorDependencies) {}
 
   get handlers(): ControlServer {
     return {
@@ -48,9 +48,9 @@
   private attach(stream: Parameters<ControlServer['attach']>[0]): void {
     let proxy: ProxyRecord | undefined;
     stream.on('data', ({body}: ProxyMessage) => {
-      const leadership = this.around.leadership();
+      const leadership = this.dependencies.leadership();
       if (!leadership) {
-        const leaderAddress = this.around.leaderAddress();
+        const leaderAddress = this.dependencies.leaderAddress();
         const value = {leaderAddress};
         stream.write({body: {$case: 'notLeader', value}});
         stream.end();
@@ -61,7 +61,7 @@
         leadership.attachments.attach(proxy, stream);
       }
       if (body?.$case === 'ask' && proxy) {
-        void leadership.attachments.onAsk(proxy, body.value);
+        void leadership.attachments.onLeaseRequest(proxy, body.value);
       }
     });
     stream.on('error', () => stream.end());
@@ -72,11 +72,13 @@
     respond: Respond<OperatorReply>,
   ): Promise<void> {
     const change = call.request.change!;
-    const known = this.around.machine.outcomeOf(change.changeId);
-    const faults = known ? '' : this.around.settings.faultsOf(change.text);
-    if (faults !== '') return respond(null, this.refused(faults));
+    const knownOutcome = this.dependencies.machine.outcomeOf(change.changeId);
+    const errors = knownOutcome
+      ? ''
+      : this.dependencies.settings.validate(change.text);
+    if (errors !== '') return respond(null, this.makeRefusal(errors));
     const body: Body = {$case: 'applySettings', value: change};
-    await this.decide(change.changeId, body, respond);
+    await this.proposeChange(change.changeId, body, respond);
   }
 
   private async drain(
@@ -85,36 +87,36 @@
   ): Promise<void> {
     const change = call.request.change!;
     const body: Body = {$case: 'setDrain', value: change};
-    await this.decide(change.changeId, body, respond);
+    await this.proposeChange(change.changeId, body, respond);
   }
 
   /**
-   * Puts a change into the log and answers with what it came to. The log has
-   * the outcome of a change that was sent before, so asking again is safe.
+   * Proposes a change and replies with its outcome. Retries are safe: a change
+   * with a known id gets its recorded outcome.
    */
-  private async decide(
+  private async proposeChange(
     changeId: string,
     body: Body,
     respond: Respond<OperatorReply>,
   ): Promise<void> {
-    const leadership = this.around.leadership();
-    if (!leadership) return respond(null, this.notLeader());
+    const leadership = this.dependencies.leadership();
+    if (!leadership) return respond(null, this.makeNotLeaderReply());
     const proposed = await leadership.log.propose(body);
-    if (proposed.isErr) return respond(null, this.notLeader());
-    const outcome = this.around.machine.outcomeOf(changeId);
+    if (proposed.isErr) return respond(null, this.makeNotLeaderReply());
+    const outcome = this.dependencies.machine.outcomeOf(changeId);
     respond(null, {outcome, notLeader: false, leaderAddress: ''});
   }
 
   private async status(respond: Respond<StatusReply>): Promise<void> {
-    const {node, machine, instance} = this.around;
+    const {node, machine, instance} = this.dependencies;
     const {core} = node;
     const confirmed = await node.confirmLeadership();
-    const leadership = this.around.leadership();
-    const now = this.around.now();
+    const leadership = this.dependencies.leadership();
+    const now = this.dependencies.now();
     respond(null, {
       instance,
       leader: confirmed.isOk,
-      leaderAddress: this.around.leaderAddress(),
+      leaderAddress: this.dependencies.leaderAddress(),
       consensusTerm: core.currentTerm,
       commitIndex: core.commitIndex,
       configuration: core.configuration,
@@ -132,25 +134,28 @@
     call: ServerUnaryCall<ForceRequest, OperatorReply>,
     respond: Respond<OperatorReply>,
   ): void {
-    const leadership = this.around.leadership();
-    if (!leadership) return respond(null, this.notLeader());
+    const leadership = this.dependencies.leadership();
+    if (!leadership) return respond(null, this.makeNotLeaderReply());
     const accepted = leadership.force(call.request.service);
-    const outcome = this.outcome(accepted, accepted ? '' : 'no such service');
+    const outcome = this.makeOutcome(
+      accepted,
+      accepted ? '' : 'no such service',
+    );
     respond(null, {outcome, notLeader: false, leaderAddress: ''});
   }
 
-  private refused(detail: string): OperatorReply {
-    const outcome = this.outcome(false, detail);
+  private makeRefusal(detail: string): OperatorReply {
+    const outcome = this.makeOutcome(false, detail);
     return {outcome, notLeader: false, leaderAddress: ''};
   }
 
-  private outcome(accepted: boolean, detail: string): ChangeOutcome {
-    const version = this.around.machine.state.settingsVersion;
+  private makeOutcome(accepted: boolean, detail: string): ChangeOutcome {
+    const version = this.dependencies.machine.state.settingsVersion;
     return {accepted, version, winnerChangeId: '', detail};
   }
 
-  private notLeader(): OperatorReply {
-    const leaderAddress = this.around.leaderAddress();
+  private makeNotLeaderReply(): OperatorReply {
+    const leaderAddress = this.dependencies.leaderAddress();
     return {outcome: undefined, notLeader: true, leaderAddress};
   }
 }
--- a/src/control/node/peer_transport.ts
+++ b/src/control/node/peer_transport.ts
@@ -11,20 +11,20 @@
 } from '../../schema/generated/consensus';
 import {ConsensusClient} from '../../schema/generated/consensus_service';
 
-const DELIVERY_MS = 1_000;
-/** As often as it is asked. */
-const JOIN_MS = 500;
-/** Messages under way to one peer; more are dropped, as a network would. */
-const MOST_UNDER_WAY = 64;
+const DELIVERY_TIMEOUT_MS = 1_000;
+/** Equals the interval between join requests, so that at most one is open. */
+const JOIN_TIMEOUT_MS = 500;
+/** Further messages to the peer are dropped. */
+const MAX_PENDING_DELIVERIES = 64;
 
-interface Link {
+interface Peer {
   readonly client: ConsensusClient;
-  underWay: number;
+  pendingCount: number;
 }
 
-/** Carries consensus messages to peers over gRPC; late ones are given up. */
+/** Sends consensus messages and join requests to peers over gRPC. */
 export class PeerTransport implements ConsensusTransport, JoinTransport {
-  private readonly links = new Map<string, Link>();
+  private readonly peers = new Map<string, Peer>();
   private readonly addresses = new PeerAddresses();
 
   constructor(
@@ -32,47 +32,47 @@
     signal: AbortSignal,
   ) {
     signal.addEventListener('abort', () => {
-      for (const {client} of this.links.values()) client.close();
+      for (const {client} of this.peers.values()) client.close();
     });
   }
 
-  /** Takes note of where a peer that sent something is answered. */
-  learn(message: ConsensusMessage): void {
+  /** Records the reply address that a peer's message carries. */
+  recordAddress(message: ConsensusMessage): void {
     this.addresses.learn(message);
   }
 
   send(message: ConsensusMessage, configuration: Configuration): void {
     const address = this.addresses.of(message.to, configuration);
     if (address === undefined) return;
-    const link = this.linkTo(address);
-    const signed = {...message, fromAddress: this.ownAddress};
-    if (link.underWay >= MOST_UNDER_WAY) return;
-    link.underWay++;
-    const options = {deadline: deadlineIn(DELIVERY_MS)};
-    // Failures are not looked at: the core repeats what was not answered.
-    link.client.deliver(signed, new Metadata(), options, () => {
-      link.underWay--;
+    const peer = this.peerAt(address);
+    const outgoing = {...message, fromAddress: this.ownAddress};
+    if (peer.pendingCount >= MAX_PENDING_DELIVERIES) return;
+    peer.pendingCount++;
+    const options = {deadline: deadlineIn(DELIVERY_TIMEOUT_MS)};
+    // Errors are ignored: the consensus core retransmits.
+    peer.client.deliver(outgoing, new Metadata(), options, () => {
+      peer.pendingCount--;
     });
   }
 
   join(
     address: string,
     request: JoinRequest,
-    onDidAnswer: (reply: JoinReply) => void,
+    onDidReply: (reply: JoinReply) => void,
   ): void {
-    const options = {deadline: deadlineIn(JOIN_MS)};
-    const {client} = this.linkTo(address);
+    const options = {deadline: deadlineIn(JOIN_TIMEOUT_MS)};
+    const {client} = this.peerAt(address);
     client.join(request, new Metadata(), options, (...[, reply]) => {
-      if (reply) onDidAnswer(reply);
+      if (reply) onDidReply(reply);
     });
   }
 
-  private linkTo(address: string): Link {
-    const known = this.links.get(address);
-    if (known) return known;
+  private peerAt(address: string): Peer {
+    const existing = this.peers.get(address);
+    if (existing) return existing;
     const client = new ConsensusClient(address, LINK_CREDENTIALS, LINK_OPTIONS);
-    const link = {client, underWay: 0};
-    this.links.set(address, link);
-    return link;
+    const peer = {client, pendingCount: 0};
+    this.peers.set(address, peer);
+    return peer;
   }
 }
--- a/src/control/node/proxy_attachments.ts
+++ b/src/control/node/proxy_attachments.ts
@@ -20,8 +20,8 @@
 
 type Stream = ServerDuplexStream<ProxyMessage, ControlMessage>;
 
-/** What attachments ask of the leadership they belong to. */
-export interface AttachmentSurroundings {
+/** What the attachments need from the leadership that owns them. */
+export interface AttachmentDependencies {
   readonly machine: ControlMachine;
   readonly leases: LeaseRegistry;
   readonly log: ControlLog;
@@ -29,41 +29,42 @@
   readonly clock: Clock;
   readonly leaseMs: number;
   isClosed(record: ServiceRecord): boolean;
-  /** Something that a decision depends on was reported. */
-  onDidHear(): void;
+  /** A proxy reported something that failover decisions depend on. */
+  onDidReceiveReport(): void;
 }
 
 interface Attachment {
   readonly proxy: ProxyRecord;
   readonly stream: Stream;
-  /** Changes up to here were sent. */
+  /** The state revision up to which changes were sent. */
   sentRevision: number;
   sentVersion: number;
-  readonly sentClosed: Map<string, number>;
+  /** The term in which each service was last sent as closed. */
+  readonly closedTerms: Map<string, number>;
 }
 
-/** The proxies that are attached to this instance while it leads. */
+/** The streams of proxies attached to this instance while it is leader. */
 export class ProxyAttachments {
-  private readonly open = new Map<string, Attachment>();
+  private readonly attachments = new Map<string, Attachment>();
 
   constructor(
-    private readonly around: AttachmentSurroundings,
+    private readonly dependencies: AttachmentDependencies,
     private readonly logger: Log,
   ) {}
 
-  /** Takes a stream whose proxy has said who it is. */
+  /** Registers the stream of a proxy; replaces its earlier stream. */
   attach(proxy: ProxyRecord, stream: Stream): void {
     const name = proxyName(proxy);
-    this.open.get(name)?.stream.end();
+    this.attachments.get(name)?.stream.end();
     const attachment: Attachment = {
       proxy,
       stream,
       sentRevision: 0,
       sentVersion: 0,
-      sentClosed: new Map(),
+      closedTerms: new Map(),
     };
-    this.open.set(name, attachment);
-    this.logger.info('A proxy attached.', {proxy: name});
+    this.attachments.set(name, attachment);
+    this.logger.info('A proxy attached to control.', {proxy: name});
     const onEnd = () => this.onEnd(attachment);
     stream.on('end', () => stream.end());
     stream.on('cancelled', onEnd);
@@ -71,47 +72,55 @@
     stream.on('close', onEnd);
   }
 
-  /** Answers a question for a lease once a majority confirms this leader. */
-  async onAsk(proxy: ProxyRecord, ask: LeaseRequest): Promise<void> {
-    const attachment = this.open.get(proxyName(proxy));
+  /** Grants a lease once a majority has confirmed this leader. */
+  async onLeaseRequest(
+    proxy: ProxyRecord,
+    request: LeaseRequest,
+  ): Promise<void> {
+    const attachment = this.attachments.get(proxyName(proxy));
     if (!attachment) return;
-    const {leases, clock, node} = this.around;
-    leases.onRequest(proxy, ask, clock.now());
-    this.around.onDidHear();
+    const {leases, clock, node} = this.dependencies;
+    leases.onRequest(proxy, request, clock.now());
+    this.dependencies.onDidReceiveReport();
     const confirmed = await node.confirmLeadership();
-    if (confirmed.isErr || this.open.get(proxyName(proxy)) !== attachment) {
+    if (
+      confirmed.isErr ||
+      this.attachments.get(proxyName(proxy)) !== attachment
+    ) {
       return;
     }
-    if (!this.mayHoldLease(proxy)) return;
+    if (!this.canHoldLease(proxy)) return;
     leases.onGranted(proxy, clock.now());
-    this.send(attachment, ask.sequence);
+    this.send(attachment, request.sequence);
   }
 
-  /** Tells proxies what changed, without a lease. */
+  /** Sends changes of the state to the proxies, without a lease. */
   pushChanges(): void {
-    const {machine} = this.around;
+    const {machine} = this.dependencies;
     const {revision} = machine.state;
-    for (const attachment of this.open.values()) {
-      const news =
-        attachment.sentRevision < revision || this.hasNewClosed(attachment);
-      if (news) this.send(attachment, 0);
+    for (const attachment of this.attachments.values()) {
+      const hasChanges =
+        attachment.sentRevision < revision ||
+        this.hasNewClosedServices(attachment);
+      if (hasChanges) this.send(attachment, 0);
     }
   }
 
-  /** Ends all streams: this instance leads no more. */
+  /** Ends all streams when this instance stops being leader. */
   endAll(): void {
-    for (const {stream} of this.open.values()) stream.end();
-    this.open.clear();
+    for (const {stream} of this.attachments.values()) stream.end();
+    this.attachments.clear();
   }
 
   /**
-   * Guard against a lease that a later leader does not know of: only a proxy
-   * in the log may hold one, and not while it is being taken out of the log.
+   * Guard: a later leader would not wait for a lease that it does not know.
+   * Only a proxy registered in the log may hold one, and not while its removal
+   * is pending.
    */
-  private mayHoldLease(proxy: ProxyRecord): boolean {
+  private canHoldLease(proxy: ProxyRecord): boolean {
     const name = proxyName(proxy);
-    const {log} = this.around;
-    if (log.isPending(forgetPurpose(proxy))) return false;
+    const {log} = this.dependencies;
+    if (log.isPending(removalPurpose(proxy))) return false;
     if (this.isRegistered(name)) return true;
     log.proposeOnce(`register ${name}`, {
       $case: 'registerProxy',
@@ -121,28 +130,28 @@
   }
 
   private isRegistered(name: string): boolean {
-    return this.around.machine.state.proxies.some(other => {
+    return this.dependencies.machine.state.proxies.some(other => {
       return proxyName(other) === name;
     });
   }
 
-  private hasNewClosed(attachment: Attachment): boolean {
-    return this.closedServices().some(({name, term}) => {
-      return attachment.sentClosed.get(name) !== term;
+  private hasNewClosedServices(attachment: Attachment): boolean {
+    return this.findClosedServices().some(({name, term}) => {
+      return attachment.closedTerms.get(name) !== term;
     });
   }
 
-  private closedServices(): ServiceRecord[] {
-    return this.around.machine.state.services.filter(record => {
-      const changing = record.phase === Phase.PHASE_CHANGING;
-      return changing && this.around.isClosed(record);
+  private findClosedServices(): ServiceRecord[] {
+    return this.dependencies.machine.state.services.filter(record => {
+      const isChanging = record.phase === Phase.PHASE_CHANGING;
+      return isChanging && this.dependencies.isClosed(record);
     });
   }
 
   private send(attachment: Attachment, sequence: number): void {
-    const {machine, leaseMs} = this.around;
+    const {machine, leaseMs} = this.dependencies;
     const {state} = machine;
-    const closed = this.closedServices();
+    const closed = this.findClosedServices();
     const isNewVersion = attachment.sentVersion < state.settingsVersion;
     const grant: LeaseGrant = {
       sequence,
@@ -160,20 +169,20 @@
     };
     attachment.sentRevision = state.revision;
     attachment.sentVersion = state.settingsVersion;
-    for (const {name, term} of closed) attachment.sentClosed.set(name, term);
+    for (const {name, term} of closed) attachment.closedTerms.set(name, term);
     attachment.stream.write({body: {$case: 'grant', value: grant}});
   }
 
   private onEnd(attachment: Attachment): void {
     const name = proxyName(attachment.proxy);
-    if (this.open.get(name) !== attachment) return;
-    this.open.delete(name);
-    this.around.leases.onDetached(attachment.proxy);
-    this.logger.info('A proxy detached.', {proxy: name});
+    if (this.attachments.get(name) !== attachment) return;
+    this.attachments.delete(name);
+    this.dependencies.leases.onDetached(attachment.proxy);
+    this.logger.info('A proxy detached from control.', {proxy: name});
   }
 }
 
-/** Names the command that takes a proxy out of the log. */
-export function forgetPurpose(proxy: ProxyRecord): string {
-  return `forget ${proxyName(proxy)}`;
+/** The purpose under which the removal of a proxy is proposed. */
+export function removalPurpose(proxy: ProxyRecord): string {
+  return `remove ${proxyName(proxy)}`;
 }
--- a/src/control/node/settings_in_force.ts
+++ b/src/control/node/settings_in_force.ts
@@ -5,16 +5,16 @@
   type Settings,
 } from '../../services/settings/common/settings';
 
-/** The settings that control goes by: the accepted ones, or its own file's. */
+/** The settings in force: those in the replicated log, or the local file's. */
 export class SettingsInForce {
   private version = 0;
   private current: Settings;
 
   constructor(
     private readonly machine: ControlMachine,
-    private readonly own: Settings,
+    private readonly fileSettings: Settings,
   ) {
-    this.current = own;
+    this.current = fileSettings;
   }
 
   get(): Settings {
@@ -26,15 +26,16 @@
     return this.current;
   }
 
-  /** What is wrong with a text that an operator wants in force, or ''. */
-  faultsOf(text: string): string {
+  /** Returns why settings proposed by an operator are invalid, or ''. */
+  validate(text: string): string {
     const parsed = parseSettings({file: 'settings', text});
     if (parsed.isErr) return parsed.error.map(formatSettingsError).join('\n');
-    // Leases that are out were given by the old times: a leader that went by
-    // shorter ones would not wait them out.
-    const same =
-      JSON.stringify(parsed.value.system) === JSON.stringify(this.own.system);
-    return same
+    // Outstanding leases were granted with the old durations; a leader that
+    // used shorter ones would not wait until they expire.
+    const isSameSystem =
+      JSON.stringify(parsed.value.system) ===
+      JSON.stringify(this.fileSettings.system);
+    return isSameSystem
       ? ''
       : '[system] is read when a process starts; keep it as it is';
   }
--- a/src/control/test/node/join_requests.test.ts
+++ b/src/control/test/node/join_requests.test.ts
@@ -17,21 +17,21 @@
 
 const SELF = {id: 'new', address: '127.0.0.1:1'};
 
-/** One way for control instances to talk to each other. */
-interface Exchange {
+/** One transport between control instances. */
+interface JoinFixture {
   readonly kind: string;
-  calls(signal: AbortSignal): JoinTransport;
-  /** Starts an instance that answers; its port. */
+  connect(signal: AbortSignal): JoinTransport;
+  /** Starts an instance that replies to join requests; returns its port. */
   serve(
-    answer: (request: JoinRequest) => JoinReply,
+    handleJoin: (request: JoinRequest) => JoinReply,
     signal: AbortSignal,
   ): Promise<number>;
 }
 
-const EXCHANGES: Exchange[] = [
+const FIXTURES: JoinFixture[] = [
   {
     kind: 'gRPC',
-    calls: signal => new PeerTransport(SELF.address, signal),
+    connect: signal => new PeerTransport(SELF.address, signal),
     async serve(answer, signal) {
       const server = createServer();
       const handlers: ConsensusServer = {
@@ -44,7 +44,7 @@
   },
   {
     kind: 'links',
-    calls: signal => new PeerLinks(SELF.address, makeLog().log, signal),
+    connect: signal => new PeerLinks(SELF.address, makeLog().log, signal),
     async serve(answer, signal) {
       const {log} = makeLog();
       const server = new MessageServer(log);
@@ -57,40 +57,42 @@
   },
 ];
 
-describe.each(EXCHANGES)('an instance that joins over $kind', exchange => {
+describe.each(FIXTURES)('an instance that joins over $kind', fixture => {
   const stop = ownController();
 
   afterEach(() => stop.abort());
 
-  /** A control instance that notes who asks to be taken in. */
+  /** A control instance that records the join requests it receives. */
   async function startInstance(leaderAddress: string) {
-    const asked: string[] = [];
-    const answer = ({id}: JoinRequest) => {
-      asked.push(id);
+    const joiningIds: string[] = [];
+    const handleJoin = ({id}: JoinRequest) => {
+      joiningIds.push(id);
       return {accepted: leaderAddress === '', leaderAddress};
     };
-    const port = await exchange.serve(answer, stop.signal);
-    return {asked, address: `127.0.0.1:${port}`};
+    const port = await fixture.serve(handleJoin, stop.signal);
+    return {joiningIds, address: `127.0.0.1:${port}`};
   }
 
-  it('asks the leader, also one that is not on its list', async () => {
-    // Six control instances, three of them on everybody's list. The leader is
-    // one of the others when an instance comes back with an empty disk. Nobody
-    // on its list could take it in, its lost voter was not replaced, and the
-    // next two lost disks left control without a majority for good.
+  it('also asks a leader that is not on its list', async () => {
+    // Guards against a voter with a lost disk never being replaced because the
+    // leader, the only one that can accept a join, is not on the list.
     const leader = await startInstance('');
     const listed = await startInstance(leader.address);
-    const calls = exchange.calls(stop.signal);
+    const transport = fixture.connect(stop.signal);
     requestJoinUntilVoter(
       SELF,
       [listed.address],
       () => false,
-      calls,
+      transport,
       stop.signal,
     );
-    for (let looks = 0; looks < 200 && leader.asked.length === 0; looks++) {
+    for (
+      let attempt = 0;
+      attempt < 200 && leader.joiningIds.length === 0;
+      attempt++
+    ) {
       await new Promise(resolve => setTimeout(resolve, 10));
     }
-    expect(leader.asked).toContain('new');
+    expect(leader.joiningIds).toContain('new');
   });
 });
