--- a/src/ctl/node/control_calls.ts
+++ b/src/ctl/node/control_calls.ts
@@ -8,13 +8,13 @@
   type StatusReply,
 } from '../../schema/generated/control';
 
-const CALL_MS = 2_000;
-const ROUNDS = 15;
-const ROUND_PAUSE_MS = 200;
+const CALL_TIMEOUT_MS = 2_000;
+const MAX_ROUNDS = 15;
+const ROUND_INTERVAL_MS = 200;
 
 type Callback<T> = (error: ServiceError | null, reply: T) => void;
 
-/** Sends one call through a client. */
+/** Starts one call on a client. */
 export type Call<T> = (
   client: ControlClient,
   metadata: Metadata,
@@ -22,7 +22,7 @@
   callback: Callback<T>,
 ) => void;
 
-/** Operators' calls to whichever control instance leads. */
+/** Calls of an operator to the control leader. */
 export class ControlCalls {
   private readonly clients = new Map<string, ControlClient>();
 
@@ -33,42 +33,42 @@
   }
 
   /**
-   * Sends a change until the leader answers. Sending it again is safe: it has
-   * a change id, and the same id gets the first answer.
+   * Sends a change until the leader replies. Retries are safe: a change with a
+   * known id gets its recorded outcome.
    */
-  async change(
+  async submitChange(
     call: Call<OperatorReply>,
   ): Promise<Result<ChangeOutcome, string>> {
-    for (let round = 0; round < ROUNDS; round++) {
+    for (let round = 0; round < MAX_ROUNDS; round++) {
       for (const address of this.addresses) {
         const reply = await this.send(address, call);
         if (reply.isOk && reply.value.outcome) return ok(reply.value.outcome);
       }
-      await new Promise(resolve => setTimeout(resolve, ROUND_PAUSE_MS));
+      await new Promise(resolve => setTimeout(resolve, ROUND_INTERVAL_MS));
     }
-    return err('no control leader answered; the same command may be repeated');
+    return err('no control leader replied; the same command can be retried');
   }
 
-  /** What the leader says, or where there is none what any instance says. */
-  async status(): Promise<Result<StatusReply, string>> {
-    let any: StatusReply | undefined;
+  /** The status from the leader, or from any instance if there is none. */
+  async fetchStatus(): Promise<Result<StatusReply, string>> {
+    let fallback: StatusReply | undefined;
     for (const address of this.addresses) {
       const reply = await this.send<StatusReply>(address, (client, ...rest) => {
         client.status({}, ...rest);
       });
       if (reply.isErr) continue;
       if (reply.value.leader) return ok(reply.value);
-      any ??= reply.value;
+      fallback ??= reply.value;
     }
-    return any ? ok(any) : err('no control instance answered');
+    return fallback ? ok(fallback) : err('no control instance replied');
   }
 
   private send<T>(
     address: string,
     call: Call<T>,
   ): Promise<Result<T, ServiceError>> {
-    const client = this.clientOf(address);
-    const options = {deadline: deadlineIn(CALL_MS)};
+    const client = this.clientFor(address);
+    const options = {deadline: deadlineIn(CALL_TIMEOUT_MS)};
     return new Promise(resolve => {
       call(client, new Metadata(), options, (error, reply) => {
         resolve(error ? err(error) : ok(reply));
@@ -76,9 +76,9 @@
     });
   }
 
-  private clientOf(address: string): ControlClient {
-    const known = this.clients.get(address);
-    if (known) return known;
+  private clientFor(address: string): ControlClient {
+    const existing = this.clients.get(address);
+    if (existing) return existing;
     const client = new ControlClient(address, LINK_CREDENTIALS, LINK_OPTIONS);
     this.clients.set(address, client);
     return client;
--- a/src/ctl/node/main.ts
+++ b/src/ctl/node/main.ts
@@ -27,59 +27,60 @@
 } from '../../schema/generated/control';
 import {ControlCalls, type Call} from './control_calls';
 import {
-  describeJournal,
-  describeStatus,
+  formatJournal,
+  formatStatus,
   mergeHistograms,
-  table,
+  formatTable,
   type EncodedHistogram,
 } from './report';
 
 const EXIT_REFUSED = 1;
-const VERSION_IN_FORCE = -1;
+const CURRENT_VERSION = -1;
 
 const control = option({
   long: 'control',
   type: string,
-  description: 'control addresses, as host:port with commas',
+  description: 'control addresses, as comma-separated host:port',
 });
-const json = flag({long: 'json', description: 'print JSON'});
+const json = flag({long: 'json', description: 'print as JSON'});
 const changeId = option({
   long: 'change-id',
   type: string,
   defaultValue: () => randomUUID(),
-  description: 'name of the change; the same one gets the first answer',
+  description:
+    'id of the change; a retry with the same id gets its first outcome',
 });
 
-function callsTo(text: string): ControlCalls {
+function createCalls(text: string): ControlCalls {
   return new ControlCalls(text.split(',').map(item => item.trim()));
 }
 
-async function change(
+async function submitChange(
   addresses: string,
   asJson: boolean,
   call: Call<OperatorReply>,
 ): Promise<void> {
-  const calls = callsTo(addresses);
-  const outcome = await calls.change(call);
+  const calls = createCalls(addresses);
+  const outcome = await calls.submitChange(call);
   calls.close();
   if (outcome.isErr) fail(EXIT_UNAVAILABLE, [outcome.error]);
   console.log(
-    asJson ? JSON.stringify(outcome.value) : describeOutcome(outcome.value),
+    asJson ? JSON.stringify(outcome.value) : formatOutcome(outcome.value),
   );
   if (!outcome.value.accepted) process.exitCode = EXIT_REFUSED;
 }
 
-function describeOutcome(outcome: ChangeOutcome): string {
+function formatOutcome(outcome: ChangeOutcome): string {
   const {accepted, version, winnerChangeId, detail} = outcome;
   if (accepted) return `accepted; settings version ${version}`;
   const winner =
-    winnerChangeId === '' ? '' : `; in force is change ${winnerChangeId}`;
+    winnerChangeId === '' ? '' : `; change ${winnerChangeId} is in force`;
   return `refused: ${detail}${winner}`;
 }
 
 const apply = command({
   name: 'apply',
-  description: 'Puts a base file of settings in force.',
+  description: 'Applies a base settings file.',
   args: {
     file: positional({type: string, displayName: 'file'}),
     control,
@@ -87,8 +88,9 @@
     baseVersion: option({
       long: 'base-version',
       type: number,
-      defaultValue: () => VERSION_IN_FORCE,
-      description: 'version that the change is based on; else the one in force',
+      defaultValue: () => CURRENT_VERSION,
+      description:
+        'settings version the change is based on; default: the current one',
     }),
     json,
   },
@@ -99,19 +101,19 @@
       fail(EXIT_SETTINGS, parsed.error.map(formatSettingsError));
     }
     const baseVersion =
-      args.baseVersion === VERSION_IN_FORCE
-        ? await versionInForce(args.control)
+      args.baseVersion === CURRENT_VERSION
+        ? await fetchCurrentVersion(args.control)
         : args.baseVersion;
     const value = {changeId: args.changeId, baseVersion, text};
-    await change(args.control, args.json, (client, ...rest) => {
+    await submitChange(args.control, args.json, (client, ...rest) => {
       client.apply({change: value}, ...rest);
     });
   },
 });
 
-async function versionInForce(addresses: string): Promise<number> {
-  const calls = callsTo(addresses);
-  const status = await calls.status();
+async function fetchCurrentVersion(addresses: string): Promise<number> {
+  const calls = createCalls(addresses);
+  const status = await calls.fetchStatus();
   calls.close();
   if (status.isErr) fail(EXIT_UNAVAILABLE, [status.error]);
   return status.value.state?.settingsVersion ?? 0;
@@ -119,10 +121,10 @@
 
 const drain = command({
   name: 'drain',
-  description: 'Takes a target out of service, or back in with --undo.',
+  description: 'Drains a target, or ends draining with --undo.',
   args: {
     target: positional({type: string, displayName: 'service/instance'}),
-    undo: flag({long: 'undo', description: 'take it back in'}),
+    undo: flag({long: 'undo', description: 'return it to service'}),
     control,
     changeId,
     json,
@@ -131,7 +133,7 @@
     const [service = '', instance = ''] = args.target.split('/');
     const draining = !args.undo;
     const value = {changeId: args.changeId, service, instance, draining};
-    await change(args.control, args.json, (client, ...rest) => {
+    await submitChange(args.control, args.json, (client, ...rest) => {
       client.drain({change: value}, ...rest);
     });
   },
@@ -139,8 +141,7 @@
 
 const force = command({
   name: 'force',
-  description:
-    'Lets a blocked change of primary pass; acknowledged writes may be lost.',
+  description: 'Unblocks a change of primary; acknowledged writes may be lost.',
   args: {
     service: positional({type: string, displayName: 'service'}),
     control,
@@ -148,7 +149,7 @@
   },
   async handler(args) {
     const {service} = args;
-    await change(args.control, args.json, (client, ...rest) => {
+    await submitChange(args.control, args.json, (client, ...rest) => {
       client.force({service}, ...rest);
     });
   },
@@ -159,44 +160,44 @@
   description: 'Shows control, services, members and proxies.',
   args: {control, json},
   async handler(args) {
-    const calls = callsTo(args.control);
-    const reply = await calls.status();
+    const calls = createCalls(args.control);
+    const reply = await calls.fetchStatus();
     calls.close();
     if (reply.isErr) fail(EXIT_UNAVAILABLE, [reply.error]);
     console.log(
-      args.json ? JSON.stringify(reply.value) : describeStatus(reply.value),
+      args.json ? JSON.stringify(reply.value) : formatStatus(reply.value),
     );
   },
 });
 
 const explain = command({
   name: 'explain',
-  description: 'Says what the system did and why.',
+  description: 'Shows what the system did and why.',
   args: {
-    subject: positional({type: string, displayName: 'word in the subject'}),
+    subject: positional({type: string, displayName: 'text in the subject'}),
     control,
     json,
   },
   async handler(args) {
-    const calls = callsTo(args.control);
-    const reply = await calls.status();
+    const calls = createCalls(args.control);
+    const reply = await calls.fetchStatus();
     calls.close();
     if (reply.isErr) fail(EXIT_UNAVAILABLE, [reply.error]);
     const entries = (reply.value.state?.journal ?? []).filter(({subject}) => {
       return subject.includes(args.subject);
     });
-    console.log(args.json ? JSON.stringify(entries) : describeJournal(entries));
+    console.log(args.json ? JSON.stringify(entries) : formatJournal(entries));
   },
 });
 
 const histograms = command({
   name: 'histograms',
-  description: 'Shows times by caller and class, merged over proxies.',
+  description: 'Shows latencies by caller and class, merged over proxies.',
   args: {
     proxies: option({
       long: 'proxies',
       type: string,
-      description: 'status addresses of proxies, as host:port with commas',
+      description: 'status addresses of proxies, as comma-separated host:port',
     }),
     json,
   },
@@ -218,7 +219,7 @@
       row.p99Ms.toFixed(2),
       row.maxMs.toFixed(2),
     ]);
-    console.log(table([...head, ...times], cells));
+    console.log(formatTable([...head, ...times], cells));
   },
 });
 
@@ -234,7 +235,7 @@
 const program = subcommands({
   name: 'bulrushctl',
   version: VERSION,
-  description: 'Drives and explains a bulrushstage system.',
+  description: 'Operates and inspects a bulrushstage system.',
   cmds: {apply, drain, explain, force, histograms, status},
 });
 
--- a/src/ctl/node/report.ts
+++ b/src/ctl/node/report.ts
@@ -16,7 +16,7 @@
   [Phase.PHASE_CHANGING]: 'changing',
 };
 
-/** One histogram as a proxy's status endpoint gives it. */
+/** One histogram as served by the status endpoint of a proxy. */
 export interface EncodedHistogram {
   readonly service: string;
   readonly caller: string;
@@ -25,7 +25,7 @@
   readonly histogram: string;
 }
 
-/** One merged histogram, in milliseconds. */
+/** Statistics of one merged histogram. */
 export interface HistogramRow {
   readonly service: string;
   readonly caller: string;
@@ -37,7 +37,7 @@
   readonly maxMs: number;
 }
 
-/** Merges the histograms of several proxies exactly, series by series. */
+/** Merges the histograms of several proxies, without loss, by series. */
 export function mergeHistograms(
   pages: readonly (readonly EncodedHistogram[])[],
 ): HistogramRow[] {
@@ -45,26 +45,28 @@
     string,
     {readonly first: EncodedHistogram; readonly sum: Histogram}
   >();
-  for (const item of pages.flat()) {
-    const {service, caller, requestClass, phase} = item;
+  for (const encoded of pages.flat()) {
+    const {service, caller, requestClass, phase} = encoded;
     const key = [service, caller, requestClass, phase].join('\0');
-    const known = merged.get(key) ?? {first: item, sum: emptyHistogram()};
-    known.sum.add(decodeFromCompressedBase64(item.histogram));
-    merged.set(key, known);
+    const entry = merged.get(key) ?? {first: encoded, sum: createHistogram()};
+    entry.sum.add(decodeFromCompressedBase64(encoded.histogram));
+    merged.set(key, entry);
   }
-  return [...merged.values()].map(({first, sum}) => rowOf(first, sum));
+  return [...merged.values()].map(({first, sum}) =>
+    makeHistogramRow(first, sum),
+  );
 }
 
-/** Rows of texts as aligned columns. */
-export function table(
-  head: readonly string[],
+/** Formats rows as left-aligned columns. */
+export function formatTable(
+  headings: readonly string[],
   rows: readonly (readonly (string | number)[])[],
 ): string {
-  const texts = [head, ...rows].map(row => row.map(String));
-  const widths = head.map((...[, at]) => {
-    return Math.max(...texts.map(row => row[at]!.length));
+  const cellRows = [headings, ...rows].map(row => row.map(String));
+  const widths = headings.map((...[, at]) => {
+    return Math.max(...cellRows.map(row => row[at]!.length));
   });
-  return texts
+  return cellRows
     .map(row => {
       const cells = row.map((cell, at) => cell.padEnd(widths[at]!));
       return cells.join('  ').trimEnd();
@@ -72,23 +74,23 @@
     .join('\n');
 }
 
-/** The status of the system for people. */
-export function describeStatus(status: StatusReply): string {
+/** Formats the status of the system as text. */
+export function formatStatus(status: StatusReply): string {
   const {state, proxies, leader, instance} = status;
   const voters = status.configuration?.peers ?? [];
   const lines = [
     leader
-      ? `control: ${instance} leads term ${status.consensusTerm}`
-      : `control: no leader answered; as ${instance} last knew it:`,
-    `control members: ${voters.map(describeVoter).join(', ')}`,
+      ? `control: ${instance} is leader in term ${status.consensusTerm}`
+      : `control: no leader replied; last state known to ${instance}:`,
+    `control members: ${voters.map(formatVoter).join(', ')}`,
     `settings: version ${state?.settingsVersion ?? 0}`,
     '',
-    table(
+    formatTable(
       ['service', 'term', 'phase', 'primary', 'members'],
-      (state?.services ?? []).map(serviceRow),
+      (state?.services ?? []).map(makeServiceRow),
     ),
     '',
-    table(
+    formatTable(
       ['proxy', 'attached', 'settings'],
       proxies.map(proxy => [
         proxy.instance,
@@ -100,8 +102,8 @@
   return lines.join('\n');
 }
 
-/** Journal entries for people, oldest first. */
-export function describeJournal(entries: readonly JournalEntry[]): string {
+/** Formats journal entries as text, oldest first. */
+export function formatJournal(entries: readonly JournalEntry[]): string {
   return entries
     .map(({wallTimeMs, subject, event, cause, inputs}) => {
       const time = new Date(wallTimeMs).toISOString();
@@ -111,11 +113,11 @@
     .join('\n');
 }
 
-function describeVoter({id, voter}: {id: string; voter: boolean}): string {
+function formatVoter({id, voter}: {id: string; voter: boolean}): string {
   return voter ? id : `${id} (catching up)`;
 }
 
-function serviceRow(record: ServiceRecord): (string | number)[] {
+function makeServiceRow(record: ServiceRecord): (string | number)[] {
   const members = record.members.map(({instance, draining}) => {
     return draining ? `${instance} (draining)` : instance;
   });
@@ -123,7 +125,10 @@
   return [record.name, record.term, phase, record.primary, members.join(' ')];
 }
 
-function rowOf(first: EncodedHistogram, sum: Histogram): HistogramRow {
+function makeHistogramRow(
+  first: EncodedHistogram,
+  sum: Histogram,
+): HistogramRow {
   const {service, caller, requestClass, phase} = first;
   return {
     service,
@@ -137,6 +142,6 @@
   };
 }
 
-function emptyHistogram(): Histogram {
+function createHistogram(): Histogram {
   return build({numberOfSignificantValueDigits: 2, autoResize: true});
 }
