--- a/src/base/common/address.ts
+++ b/src/base/common/address.ts
@@ -1,10 +1,10 @@
-/** An IP number and a port. */
+/** An IP address and a port. */
 export interface Address {
   readonly host: string;
   readonly port: number;
 }
 
-/** Reads host:port; undefined where the text is something else. */
+/** Parses host:port, also with an IPv6 host in brackets. */
 export function parseAddress(text: string): Address | undefined {
   const match = /^\[?([^\]]+)\]?:(\d{1,5})$/.exec(text);
   if (!match) return undefined;
--- a/src/base/common/clock.ts
+++ b/src/base/common/clock.ts
@@ -1,10 +1,10 @@
-/** A clock that never goes back and is never set. */
+/** A monotonic clock. */
 export interface Clock {
   /** Milliseconds since an arbitrary start. */
   now(): number;
 }
 
-/** A clock that tests move by hand. */
+/** A clock for tests that moves only when told to. */
 export class ManualClock implements Clock {
   constructor(private time = 0) {}
 
--- a/src/base/common/hash.ts
+++ b/src/base/common/hash.ts
@@ -1,8 +1,8 @@
-/** FNV-1a: the same on every instance, without a secret. */
+/** The 32-bit FNV-1a hash of a text: unkeyed and equal on all instances. */
 export function hashOf(text: string): number {
   let hash = 0x811c9dc5;
-  for (let at = 0; at < text.length; at++) {
-    hash = Math.imul(hash ^ text.charCodeAt(at), 0x01000193) >>> 0;
+  for (let index = 0; index < text.length; index++) {
+    hash = Math.imul(hash ^ text.charCodeAt(index), 0x01000193) >>> 0;
   }
   return hash;
 }
--- a/src/base/common/ids.ts
+++ b/src/base/common/ids.ts
@@ -1,24 +1,24 @@
-/** Branded ids: strings that cannot be taken for one another. */
+/** Branded string types, so that one kind of id is not used as another. */
 
 type Branded<T, Name extends string> = T & {readonly brand: Name};
 
 /** One machine of the system or of a database group. */
 export type InstanceId = Branded<string, 'InstanceId'>;
-/** A place where instances stand. */
+/** A data centre. */
 export type SiteId = Branded<string, 'SiteId'>;
-/** A group of databases behind the proxy. */
+/** A group of database members. */
 export type ServiceName = Branded<string, 'ServiceName'>;
 /** A customer whose sessions the proxy serves; the PostgreSQL user name. */
 export type CallerName = Branded<string, 'CallerName'>;
-/** The name under which a connection to a member is opened. */
+/** The user name that a connection to a member logs in with. */
 export type MemberUser = Branded<string, 'MemberUser'>;
-/** A kind of request with its own accepted age, priority and deadline. */
+/** A class of requests, with its maximum data age, priority and deadline. */
 export type ClassName = Branded<string, 'ClassName'>;
-/** An operator's name for one change of settings. */
+/** Identifies one change of the settings, so that it can be retried. */
 export type ChangeId = Branded<string, 'ChangeId'>;
-/** A caller's name for one write that must run at most once. */
+/** A caller's idempotency key for one write. */
 export type RequestKey = Branded<string, 'RequestKey'>;
-/** One run of a process: new at each start. */
+/** Identifies one run of a process. */
 export type IncarnationId = Branded<string, 'IncarnationId'>;
 
 export const instanceId = (text: string) => text as InstanceId;
--- a/src/base/common/line_budget.ts
+++ b/src/base/common/line_budget.ts
@@ -1,44 +1,43 @@
 import type {Clock} from './clock';
 
-/** How a kind of line is doing in the current period. */
-interface Count {
-  lines: number;
+/** Lines of one kind in the current period. */
+interface KindCount {
+  written: number;
   omitted: number;
 }
 
 const PERIOD_MS = 1_000;
 
 /**
- * Bounds how many lines of one kind are logged in a second. Under the heaviest
- * load refusals come by the thousand, and writing each of them would take the
- * processor from those that can be served.
+ * Limits the log lines of each kind per second, so that logging every refusal
+ * under overload does not take processor time from requests.
  */
 export class LineBudget {
-  private readonly counts = new Map<string, Count>();
-  private periodEnds = -Infinity;
+  private readonly counts = new Map<string, KindCount>();
+  private periodEndsAt = -Infinity;
 
   constructor(
     private readonly linesPerSecond: number,
     private readonly clock: Clock,
   ) {}
 
-  /** Whether one more line of a kind may be written now. */
-  take(kind: string): boolean {
-    const count = this.counts.get(kind) ?? {lines: 0, omitted: 0};
+  /** Takes one line of a kind from the budget; false if it is exhausted. */
+  tryTake(kind: string): boolean {
+    const count = this.counts.get(kind) ?? {written: 0, omitted: 0};
     this.counts.set(kind, count);
-    if (count.lines < this.linesPerSecond) {
-      count.lines++;
+    if (count.written < this.linesPerSecond) {
+      count.written++;
       return true;
     }
     count.omitted++;
     return false;
   }
 
-  /** The kinds of which lines were left out in a period that is over. */
-  settle(): ReadonlyMap<string, number> {
+  /** Counts of omitted lines by kind, once after each period. */
+  takeOmitted(): ReadonlyMap<string, number> {
     const now = this.clock.now();
-    if (now < this.periodEnds) return NOTHING;
-    this.periodEnds = now + PERIOD_MS;
+    if (now < this.periodEndsAt) return NONE_OMITTED;
+    this.periodEndsAt = now + PERIOD_MS;
     const omitted = new Map<string, number>();
     for (const [kind, count] of this.counts) {
       if (count.omitted > 0) omitted.set(kind, count.omitted);
@@ -48,4 +47,4 @@
   }
 }
 
-const NOTHING: ReadonlyMap<string, number> = new Map();
+const NONE_OMITTED: ReadonlyMap<string, number> = new Map();
--- a/src/base/common/numbers.ts
+++ b/src/base/common/numbers.ts
@@ -1,4 +1,4 @@
-/** Adds numbers up; 0 for none. */
+/** The sum of the numbers; 0 if there are none. */
 export function sumOf(numbers: readonly number[]): number {
-  return numbers.reduce((sum, one) => sum + one, 0);
+  return numbers.reduce((sum, number) => sum + number, 0);
 }
--- a/src/base/common/outcome.ts
+++ b/src/base/common/outcome.ts
@@ -1,2 +1,2 @@
-/** Outcomes as values: the project's one import of true-myth. */
+/** Results as values, for errors that callers handle. */
 export {Result, ok, err} from 'true-myth/result';
--- a/src/base/common/random.ts
+++ b/src/base/common/random.ts
@@ -1,7 +1,7 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** Random numbers from a seed, so that a run can be repeated. */
+/** A seeded random number generator, for reproducible runs. */
 export class SeededRandom {
   private readonly generator;
 
@@ -9,17 +9,17 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** A whole number from low to high, both included. */
-  integer(low: number, high: number): number {
-    return uniformInt(this.generator, low, high);
+  /** An integer between min and max, both inclusive. */
+  integer(min: number, max: number): number {
+    return uniformInt(this.generator, min, max);
   }
 
-  /** A number from 0 up to, but without, 1. */
+  /** A number in [0, 1). */
   fraction(): number {
     return this.integer(0, 0x3fffffff) / 0x40000000;
   }
 
-  /** One of the items, each as likely as the others. */
+  /** One of the items, with equal probability. */
   pick<T>(items: readonly T[]): T {
     return items[this.integer(0, items.length - 1)]!;
   }
--- a/src/base/node/arguments.ts
+++ b/src/base/node/arguments.ts
@@ -1,17 +1,17 @@
 import {number, option, string} from 'cmd-ts';
 
-/** A text on the command line; required where it has no fallback. */
+/** A text option of a command; required unless it has a fallback. */
 export function textOption(
   long: string,
   description: string,
   fallback?: string,
 ) {
   const isOptional = fallback !== undefined;
-  const more = isOptional ? {defaultValue: () => fallback} : {};
-  return option({long, description, type: string, ...more});
+  const defaults = isOptional ? {defaultValue: () => fallback} : {};
+  return option({long, description, type: string, ...defaults});
 }
 
-/** A number on the command line with a fallback. */
+/** A numeric option of a command. */
 export function numberOption(
   long: string,
   description: string,
--- a/src/base/node/grpc.ts
+++ b/src/base/node/grpc.ts
@@ -6,12 +6,13 @@
 } from '@grpc/grpc-js';
 import {err, ok, type Result} from '../common/outcome';
 
-const MOST_MESSAGE_BYTES = 64 * 1024 * 1024;
+const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 
 /**
- * Links between the system's processes. Guard against a silent cut: a peer
- * that vanishes without closing would hold a stream open for minutes; the
- * keepalive closes it within seconds, and connecting starts over quickly.
+ * Options of channels and servers between the system's processes.
+ *
+ * Guard: after a network partition a stream would stay open for minutes. The
+ * keepalive closes it within seconds, and the channel reconnects quickly.
  */
 export const LINK_OPTIONS: ChannelOptions = {
   'grpc.keepalive_time_ms': 1_000,
@@ -21,21 +22,21 @@
   'grpc.initial_reconnect_backoff_ms': 50,
   'grpc.min_reconnect_backoff_ms': 50,
   'grpc.max_reconnect_backoff_ms': 400,
-  'grpc.max_receive_message_length': MOST_MESSAGE_BYTES,
-  'grpc.max_send_message_length': MOST_MESSAGE_BYTES,
-  // Each client has its own connection: a broken one hurts one owner.
+  'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
+  'grpc.max_send_message_length': MAX_MESSAGE_BYTES,
+  // Gives each client its own connection, so that a failure affects only one.
   'grpc.use_local_subchannel_pool': 1,
 };
 
-/** The place where TLS between the system's processes will be set. */
+/** Credentials of all channels; TLS between processes would be set here. */
 export const LINK_CREDENTIALS = credentials.createInsecure();
 
-/** A gRPC server of one process. */
+/** Creates a gRPC server with the options of the system's processes. */
 export function createServer(): Server {
   return new Server(LINK_OPTIONS);
 }
 
-/** Starts listening; the bound port. The server closes with the signal. */
+/** Starts listening; resolves to the port. The signal shuts the server down. */
 export function listen(
   server: Server,
   address: string,
@@ -51,7 +52,7 @@
   });
 }
 
-/** The time at which a call that starts now is given up. */
+/** The deadline of a call that starts now, for gRPC options. */
 export function deadlineIn(milliseconds: number): Date {
   return new Date(Date.now() + milliseconds);
 }
--- a/src/base/node/incarnation.ts
+++ b/src/base/node/incarnation.ts
@@ -1,7 +1,7 @@
 import {randomBytes} from 'node:crypto';
 import {incarnationId, type IncarnationId} from '../common/ids';
 
-/** A name for this run of the process. */
+/** Generates a random id for this run of the process. */
 export function newIncarnation(): IncarnationId {
   return incarnationId(randomBytes(6).toString('hex'));
 }
--- a/src/base/node/line_sink.ts
+++ b/src/base/node/line_sink.ts
@@ -1,53 +1,56 @@
 import {fstatSync, write} from 'node:fs';
 import {Socket} from 'node:net';
 
-/** Lines that wait for a slow reader, in bytes; more are left out. */
-const MOST_WAITING_BYTES = 256 * 1024;
+/** Limit of the buffer for a slow reader; further lines are omitted. */
+const MAX_PENDING_BYTES = 256 * 1024;
 
 /**
- * Writes lines to a descriptor without ever waiting for its reader.
+ * Writes lines to a file descriptor without blocking on its reader.
  *
- * Guard: the standard streams of Node write to pipes synchronously, so a
- * reader that stalls would stop the whole process. Here lines wait up to a
- * limit and are left out past it; the next line that fits says how many.
+ * Guard: Node's standard streams write to pipes synchronously, so a stalled
+ * reader would block the whole process. Lines are buffered up to a limit,
+ * omitted beyond it, and the next written line reports how many.
  */
 export class LineSink {
   private readonly socket: Socket | undefined;
-  private waiting = 0;
-  private omitted = 0;
+  private pendingBytes = 0;
+  private omittedCount = 0;
 
   constructor(private readonly descriptor: number) {
     const stat = fstatSync(descriptor);
     const isStream = stat.isFIFO() || stat.isSocket();
     if (!isStream) return;
     this.socket = new Socket({fd: descriptor, readable: false, writable: true});
-    // A reader that is gone: there is nobody left to tell.
+    // The reader is gone; the error cannot be reported anywhere.
     this.socket.on('error', () => {});
     this.socket.unref();
   }
 
-  /** Whether the line was taken. */
+  /** Writes or buffers the line; false if it was omitted. */
   writeLine(line: string): boolean {
     const bytes = Buffer.byteLength(line) + 1;
-    if (this.waiting + bytes > MOST_WAITING_BYTES) {
-      this.omitted++;
+    if (this.pendingBytes + bytes > MAX_PENDING_BYTES) {
+      this.omittedCount++;
       return false;
     }
-    const note = this.takeNote();
-    const text = `${note}${line}\n`;
-    this.waiting += bytes;
-    const done = () => {
-      this.waiting -= bytes;
+    const notice = this.takeOmissionNotice();
+    const text = `${notice}${line}\n`;
+    this.pendingBytes += bytes;
+    const onDidWrite = () => {
+      this.pendingBytes -= bytes;
     };
-    if (this.socket) this.socket.write(text, done);
-    else write(this.descriptor, text, done);
+    if (this.socket) this.socket.write(text, onDidWrite);
+    else write(this.descriptor, text, onDidWrite);
     return true;
   }
 
-  private takeNote(): string {
-    if (this.omitted === 0) return '';
-    const note = {sentence: 'Lines were left out.', count: this.omitted};
-    this.omitted = 0;
-    return `${JSON.stringify(note)}\n`;
+  private takeOmissionNotice(): string {
+    if (this.omittedCount === 0) return '';
+    const notice = {
+      sentence: 'Log lines were omitted.',
+      count: this.omittedCount,
+    };
+    this.omittedCount = 0;
+    return `${JSON.stringify(notice)}\n`;
   }
 }
--- a/src/base/node/log.ts
+++ b/src/base/node/log.ts
@@ -1,10 +1,10 @@
-// The core alone: the reporters for terminals cost a start 2 to 4 ms.
+// Without the terminal reporters, which slow down startup.
 import {createConsola, LogLevels, type ConsolaReporter} from 'consola/core';
 import {LineBudget} from '../common/line_budget';
 import {LineSink} from './line_sink';
 import {MonotonicClock} from './monotonic_clock';
 
-/** A log whose lines all carry the prefix of one part. */
+/** The log of one part of the program, named in each line. */
 export interface Log {
   info(sentence: string, fields?: Fields): void;
   warn(sentence: string, fields?: Fields): void;
@@ -12,13 +12,12 @@
   debug(sentence: string, fields?: Fields): void;
 }
 
-/** What a line says besides its sentence. */
+/** Structured data of a log line. */
 export type Fields = Readonly<Record<string, string | number | boolean>>;
 
-/** How the lines of a program look. */
+/** The output format of the log; events go to standard output. */
 export type LogFormat = 'text' | 'json' | 'events';
 
-/** Lines of one sentence in a second; see LineBudget for the grounds. */
 const LINES_PER_SECOND = 20;
 const STANDARD_OUTPUT = 1;
 
@@ -59,9 +58,9 @@
 }
 
 /**
- * One JSON object a line on standard output, within a budget for each sentence
- * and without ever waiting for the reader. The time of day may jump, so each
- * line has the steady clock as well, in milliseconds since the start.
+ * Writes one JSON object per line to standard output, without blocking on the
+ * reader and with a budget for each sentence. Since the wall clock may jump,
+ * lines also have the steady clock: milliseconds since the start.
  */
 class EventWriter {
   private readonly clock = new MonotonicClock();
@@ -71,11 +70,11 @@
   write({date, level, part, sentence, fields}: Event): void {
     const steady = Math.round(this.clock.now());
     const time = date.toISOString();
-    for (const [kind, count] of this.budget.settle()) {
-      const note = {time, steady, level, part, sentence: 'Lines left out.'};
-      this.sink.writeLine(JSON.stringify({...note, kind, count}));
+    for (const [kind, count] of this.budget.takeOmitted()) {
+      const notice = {time, steady, level, part, sentence: 'Lines left out.'};
+      this.sink.writeLine(JSON.stringify({...notice, kind, count}));
     }
-    if (!this.budget.take(sentence)) return;
+    if (!this.budget.tryTake(sentence)) return;
     const line = {time, steady, level, part, sentence, ...fields};
     this.sink.writeLine(JSON.stringify(line));
   }
@@ -89,7 +88,7 @@
   throttle: 0,
 });
 
-/** Sets how all later lines of this process look. */
+/** Sets the format and level of all further lines of this process. */
 export function configureLogs(format: LogFormat, verbose: boolean): void {
   root = createConsola({
     level: verbose ? LogLevels.debug : LogLevels.info,
@@ -98,21 +97,21 @@
   });
 }
 
-/** The log of one part. */
+/** Creates the log of one part of the program. */
 export function createLog(prefix: string): Log {
-  let base = root;
+  let taggedRoot = root;
   let tagged = root.withTag(prefix);
-  // An instance for each line would cost more than the line.
-  const at = () => {
-    if (base === root) return tagged;
-    base = root;
+  // Cached: creating a tagged instance costs more than writing a line.
+  const getTagged = () => {
+    if (taggedRoot === root) return tagged;
+    taggedRoot = root;
     tagged = root.withTag(prefix);
     return tagged;
   };
   return {
-    info: (sentence, fields) => at().info(sentence, fields),
-    warn: (sentence, fields) => at().warn(sentence, fields),
-    error: (sentence, fields) => at().error(sentence, fields),
-    debug: (sentence, fields) => at().debug(sentence, fields),
+    info: (sentence, fields) => getTagged().info(sentence, fields),
+    warn: (sentence, fields) => getTagged().warn(sentence, fields),
+    error: (sentence, fields) => getTagged().error(sentence, fields),
+    debug: (sentence, fields) => getTagged().debug(sentence, fields),
   };
 }
--- a/src/base/node/message_buffer.ts
+++ b/src/base/node/message_buffer.ts
@@ -1,18 +1,18 @@
-/** Taken places are given back in pieces of this many. */
-const COMPACT_AFTER = 1_024;
+/** Removed items at the head before the array is compacted. */
+const COMPACT_THRESHOLD = 1_024;
 
 /**
- * A channel's buffer that grows as it fills, up to a limit. The library's own
- * takes all of its memory at once: 128 KB for each session's mailbox.
+ * A channel buffer that grows on demand, up to its capacity. The buffers of
+ * js-csp allocate their whole capacity at once, for each session's mailbox.
  */
 export class MessageBuffer {
   private items: unknown[] = [];
   private head = 0;
 
-  constructor(private readonly limit: number) {}
+  constructor(private readonly capacity: number) {}
 
   isFull(): boolean {
-    return this.count() >= this.limit;
+    return this.count() >= this.capacity;
   }
 
   add(item: unknown): void {
@@ -26,7 +26,7 @@
     if (this.head === this.items.length) {
       this.items.length = 0;
       this.head = 0;
-    } else if (this.head >= COMPACT_AFTER) {
+    } else if (this.head >= COMPACT_THRESHOLD) {
       this.items.splice(0, this.head);
       this.head = 0;
     }
--- a/src/base/node/message_frames.ts
+++ b/src/base/node/message_frames.ts
@@ -1,38 +1,35 @@
 import {BinaryWriter, sizeDelimitedPeek} from '@bufbuild/protobuf/wire';
 
-/** How messages of one kind become bytes, as generated from the schema. */
+/** Encodes and decodes one message type, as generated from the schema. */
 export interface MessageCodec<M> {
   encode(message: M): {finish(): Uint8Array};
   decode(bytes: Uint8Array): M;
 }
 
-/**
- * A larger message says that the other side speaks something else: the catalog
- * of 5,500 services takes 3 MB.
- */
-const MOST_FRAME_BYTES = 64 * 1024 * 1024;
+/** Far above any message; a larger size means that the data is no frame. */
+const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
-/** A message behind its size, as protobuf delimits messages in a stream. */
+/** Encodes a message as a frame: length-delimited, as in protobuf streams. */
 export function encodeFrame<M>(codec: MessageCodec<M>, message: M): Uint8Array {
   return frameOf(codec.encode(message).finish());
 }
 
-/** Bytes behind their size. */
+/** Encodes bytes as a frame: their length as a varint, then the bytes. */
 export function frameOf(bytes: Uint8Array): Uint8Array {
   return new BinaryWriter().bytes(bytes).finish();
 }
 
-/** The other side sent what cannot be a frame. */
-export class OversizedFrame extends Error {}
+/** The peer announced a frame above the size limit. */
+export class FrameSizeError extends Error {}
 
-/** Cuts a stream of bytes into frames. */
+/** Splits a stream of bytes into frames. */
 export class FrameReader {
   private pending: Buffer[] = [];
   private pendingBytes = 0;
-  /** Fewer bytes than this hold no whole frame. */
+  /** Bytes that must be pending before another frame can be complete. */
   private neededBytes = 1;
 
-  /** Takes bytes; the contents of the frames that are whole by now. */
+  /** Adds bytes; returns the contents of the frames that they complete. */
   push(chunk: Buffer): Buffer[] {
     this.pending.push(chunk);
     this.pendingBytes += chunk.length;
@@ -40,27 +37,27 @@
     const bytes =
       this.pending.length === 1 ? chunk : Buffer.concat(this.pending);
     const frames: Buffer[] = [];
-    let at = 0;
+    let position = 0;
     this.neededBytes = 1;
-    while (at < bytes.length) {
-      const rest = bytes.subarray(at);
+    while (position < bytes.length) {
+      const rest = bytes.subarray(position);
       const {eof, size, offset} = sizeDelimitedPeek(rest);
       if (eof) {
         this.neededBytes = rest.length + 1;
         break;
       }
-      if (size > MOST_FRAME_BYTES) throw new OversizedFrame(`${size} bytes`);
+      if (size > MAX_FRAME_BYTES) throw new FrameSizeError(`${size} bytes`);
       const end = offset + size;
       if (rest.length < end) {
         this.neededBytes = end;
         break;
       }
       frames.push(rest.subarray(offset, end));
-      at += end;
+      position += end;
     }
-    const left = bytes.subarray(at);
-    this.pending = left.length === 0 ? [] : [left];
-    this.pendingBytes = left.length;
+    const remainder = bytes.subarray(position);
+    this.pending = remainder.length === 0 ? [] : [remainder];
+    this.pendingBytes = remainder.length;
     return frames;
   }
 }
--- a/src/base/node/message_link.ts
+++ b/src/base/node/message_link.ts
@@ -9,26 +9,26 @@
 import {toError} from './task';
 import {after, childController, every} from './timers';
 
-/** What two processes say to each other on one kind of link. */
-export interface LinkProtocol<Q, A> {
-  /** Tells the kinds of links apart that share a port. */
+/** The messages that two processes exchange on one kind of link. */
+export interface LinkProtocol<Request, Response> {
+  /** Sent first, so that several protocols can share a port. */
   readonly name: string;
-  /** What the side that connects says. */
-  readonly requests: MessageCodec<Q>;
-  /** What the side that listens says. */
-  readonly responses: MessageCodec<A>;
-  /** Without a byte for about this long a link is over, in milliseconds. */
+  /** Messages of the side that connects. */
+  readonly requests: MessageCodec<Request>;
+  /** Messages of the side that listens. */
+  readonly responses: MessageCodec<Response>;
+  /** A link that receives no byte for about this long is closed. */
   readonly silenceMs: number;
 }
 
-/** What the owner of a link hears from it. */
+/** Events of a link, for its owner. */
 export interface LinkListener<In> {
   onDidReceive(message: In): void;
-  /** Called once, unless its owner ended it. */
+  /** Called once, unless the owner ended the link. */
   onDidEnd(reason: string): void;
 }
 
-/** What one side of a link sends, expects, and bears. */
+/** The codecs and the silence limit of one side of a link. */
 export interface LinkSide<Out, In> {
   readonly outgoing: MessageCodec<Out>;
   readonly incoming: MessageCodec<In>;
@@ -36,40 +36,33 @@
 }
 
 /**
- * Looks without a byte from the other side before a link is over. Counting
- * looks, not time, gives a process that was suspended one look to read what
- * had come.
+ * Checks without a received byte before a link is closed. Checks are counted
+ * instead of time, so that a process that was suspended reads pending bytes
+ * before it closes the link.
  */
-const QUIET_LOOKS = 3;
-/** The first look after a byte does not count; half of one passes before it. */
-const LOOKS_A_SILENCE = QUIET_LOOKS + 0.5;
-/**
- * Bytes that may wait for a link: seconds of a 2 Mbit/s link. More says that
- * the other side does not read, and would fill this side's memory.
- */
-const MOST_WAITING_BYTES = 4 * 1024 * 1024;
-/** Says that this side is alive where it has nothing else to say. */
-const EMPTY_FRAME = frameOf(new Uint8Array(0));
+const MAX_SILENT_CHECKS = 3;
+/** On average half an interval passes between a byte and the next check. */
+const CHECKS_PER_SILENCE = MAX_SILENT_CHECKS + 0.5;
+/** Bounds memory: with more queued bytes, the peer is not reading. */
+const MAX_QUEUED_BYTES = 4 * 1024 * 1024;
+/** Sent when there is no message, so that the peer does not time out. */
+const HEARTBEAT_FRAME = frameOf(new Uint8Array(0));
 
 /**
- * A connection between two of the system's processes that carries messages of
- * the schema both ways, in order.
- *
- * Guard: a silent cut leaves a connection open for minutes. Each side that has
- * nothing to say sends an empty frame now and then, and gives up a connection
- * on which nothing came.
+ * A connection between two processes of the system that carries messages of
+ * the schema in both directions, in order.
  *
- * Buys, against streams of gRPC on the same machines: see
- * docs/design/message-links.md.
+ * Guard: a network partition leaves a connection open for minutes. Each side
+ * sends heartbeats and closes a connection on which it receives nothing.
  */
 export class MessageLink<Out, In> {
-  private readonly ended;
+  private readonly controller;
   private listener: LinkListener<In> | undefined;
-  private quietLooks = 0;
+  private silentChecks = 0;
   private hasWritten = false;
-  private isFinishing = false;
-  private opened: boolean;
-  /** Where the other side is, for logs. */
+  private isFlushing = false;
+  private wasOpened: boolean;
+  /** The address of the peer, for logs. */
   readonly peer: string;
 
   constructor(
@@ -79,37 +72,37 @@
     signal: AbortSignal,
     address?: string,
   ) {
-    // A socket forgets its addresses when it ends.
+    // A socket loses its addresses when it ends.
     this.peer = address ?? `${socket.remoteAddress}:${socket.remotePort}`;
-    this.opened = !socket.connecting;
-    socket.once('connect', () => (this.opened = true));
-    this.ended = childController(signal);
+    this.wasOpened = !socket.connecting;
+    socket.once('connect', () => (this.wasOpened = true));
+    this.controller = childController(signal);
     socket.setNoDelay(true);
     socket.on('data', chunk => this.onData(chunk));
-    socket.on('error', error => this.lose(error.message));
-    socket.on('end', () => this.lose('ended'));
-    socket.on('close', () => this.lose('closed'));
-    this.ended.signal.addEventListener('abort', () => socket.destroy());
-    every(this.ended.signal, side.silenceMs / LOOKS_A_SILENCE, () => {
-      this.look();
+    socket.on('error', error => this.fail(error.message));
+    socket.on('end', () => this.fail('ended by the peer'));
+    socket.on('close', () => this.fail('closed'));
+    this.controller.signal.addEventListener('abort', () => socket.destroy());
+    every(this.controller.signal, side.silenceMs / CHECKS_PER_SILENCE, () => {
+      this.checkSilence();
     });
   }
 
-  /** Whether the connection was ever there. */
+  /** Whether the connection was ever established. */
   get hasOpened(): boolean {
-    return this.opened;
+    return this.wasOpened;
   }
 
   get isEnded(): boolean {
-    return this.ended.signal.aborted;
+    return this.controller.signal.aborted;
   }
 
-  /** Bytes that were written and not yet sent. */
+  /** Bytes that were written but not yet sent. */
   get waitingBytes(): number {
     return this.socket.writableLength;
   }
 
-  /** Tells the owner of the link what comes from now on. */
+  /** Delivers further events to the listener; replaces an earlier one. */
   start(listener: LinkListener<In>): void {
     this.listener = listener;
   }
@@ -118,77 +111,77 @@
     this.writeFrame(encodeFrame(this.side.outgoing, message));
   }
 
-  /** Writes a message that was encoded before, for many links. */
+  /** Writes an encoded message; one encoding can serve many links. */
   writeFrame(frame: Uint8Array): void {
-    if (this.isEnded || this.isFinishing) return;
+    if (this.isEnded || this.isFlushing) return;
     this.hasWritten = true;
-    this.holdUntilTurnEnds();
+    this.corkUntilNextTick();
     this.socket.write(frame);
-    if (this.waitingBytes > MOST_WAITING_BYTES) {
-      this.lose('the other side does not read');
+    if (this.waitingBytes > MAX_QUEUED_BYTES) {
+      this.fail('the peer does not read');
     }
   }
 
-  /** Takes a frame that was read before this link was made. */
-  take(frame: Uint8Array): void {
-    if (this.isEnded || this.isFinishing || frame.length === 0) return;
+  /** Handles a frame, also one that was read before the link was created. */
+  receiveFrame(frame: Uint8Array): void {
+    if (this.isEnded || this.isFlushing || frame.length === 0) return;
     let message: In;
     try {
       message = this.side.incoming.decode(frame);
     } catch (error) {
-      return this.lose(`unreadable: ${toError(error).message}`);
+      return this.fail(`unreadable message: ${toError(error).message}`);
     }
     this.listener?.onDidReceive(message);
   }
 
-  /** Counts as lost where the connection does not open in a time, in ms. */
-  giveUpUnlessOpen(timeMs: number): void {
-    const cancel = after(this.ended.signal, timeMs, () => {
-      this.lose('not reached');
+  /** Ends the link if it is not connected after a time. */
+  setConnectTimeout(timeoutMs: number): void {
+    const cancel = after(this.controller.signal, timeoutMs, () => {
+      this.fail('connect timed out');
     });
     this.socket.once('connect', cancel);
   }
 
-  /** Ends the link once what was written is sent; its owner hears no more. */
+  /** Ends the link once all queued bytes are sent, without further events. */
   finish(): void {
-    if (this.isEnded || this.isFinishing) return;
-    this.isFinishing = true;
+    if (this.isEnded || this.isFlushing) return;
+    this.isFlushing = true;
     this.listener = undefined;
     this.socket.end();
-    after(this.ended.signal, this.side.silenceMs, () => this.end());
+    after(this.controller.signal, this.side.silenceMs, () => this.end());
   }
 
-  /** Ends the link at once; its owner hears no more. */
+  /** Ends the link at once, without further events. */
   end(): void {
     this.listener = undefined;
-    this.ended.abort();
+    this.controller.abort();
   }
 
-  /** Frames of one turn leave in one segment. */
-  private holdUntilTurnEnds(): void {
+  /** Sends the frames of one turn of the event loop in one segment. */
+  private corkUntilNextTick(): void {
     if (this.socket.writableCorked > 0) return;
     this.socket.cork();
     process.nextTick(() => this.socket.uncork());
   }
 
   private onData(chunk: Buffer): void {
-    this.quietLooks = 0;
+    this.silentChecks = 0;
     let frames: Buffer[];
     try {
       frames = this.reader.push(chunk);
     } catch (error) {
-      return this.lose(`unreadable: ${toError(error).message}`);
+      return this.fail(`unreadable message: ${toError(error).message}`);
     }
-    for (const frame of frames) this.take(frame);
+    for (const frame of frames) this.receiveFrame(frame);
   }
 
-  private look(): void {
-    if (++this.quietLooks > QUIET_LOOKS) return this.lose('silent');
-    if (!this.hasWritten) this.writeFrame(EMPTY_FRAME);
+  private checkSilence(): void {
+    if (++this.silentChecks > MAX_SILENT_CHECKS) return this.fail('silent');
+    if (!this.hasWritten) this.writeFrame(HEARTBEAT_FRAME);
     this.hasWritten = false;
   }
 
-  private lose(reason: string): void {
+  private fail(reason: string): void {
     if (this.isEnded) return;
     const {listener} = this;
     this.end();
@@ -197,18 +190,17 @@
 }
 
 /**
- * A machine without power does not answer, and the opening packet is sent again
- * after a second only; a new connection after this finds one that came back.
- * Ways between regions take 40 ms both ways.
+ * Above a round trip between regions, below the first SYN retransmission, so
+ * that a machine that comes back is connected to sooner.
  */
-const CONNECT_MS = 600;
+const CONNECT_TIMEOUT_MS = 600;
 
-/** Connects to a process; what is written meanwhile waits. */
-export function openLink<Q, A>(
+/** Connects to a process; messages written before that are queued. */
+export function openLink<Request, Response>(
   address: string,
-  protocol: LinkProtocol<Q, A>,
+  protocol: LinkProtocol<Request, Response>,
   signal: AbortSignal,
-): MessageLink<Q, A> {
+): MessageLink<Request, Response> {
   const {host, port} = parseAddress(address) ?? {host: '', port: 0};
   const socket = connect({host, port});
   const side = {
@@ -217,8 +209,14 @@
     silenceMs: protocol.silenceMs,
   };
   const reader = new FrameReader();
-  const link = new MessageLink<Q, A>(socket, reader, side, signal, address);
+  const link = new MessageLink<Request, Response>(
+    socket,
+    reader,
+    side,
+    signal,
+    address,
+  );
   link.writeFrame(frameOf(Buffer.from(protocol.name)));
-  link.giveUpUnlessOpen(CONNECT_MS);
+  link.setConnectTimeout(CONNECT_TIMEOUT_MS);
   return link;
 }
--- a/src/base/node/message_server.ts
+++ b/src/base/node/message_server.ts
@@ -8,42 +8,47 @@
 import {toError} from './task';
 import {after} from './timers';
 
-/** Whoever connects says what it speaks within this, in milliseconds. */
-const INTRODUCTION_MS = 3_000;
+/** The time in which a peer must send the name of its protocol. */
+const HANDSHAKE_TIMEOUT_MS = 3_000;
 
-type Accept = (
+type Acceptor = (
   socket: Socket,
   reader: FrameReader,
   signal: AbortSignal,
-) => {take(frame: Uint8Array): void};
+) => {receiveFrame(frame: Uint8Array): void};
 
-/** The links that other processes open to this one, all at one port. */
+/** Accepts the links of other processes, of all protocols on one port. */
 export class MessageServer {
-  private readonly accepts = new Map<string, Accept>();
+  private readonly acceptors = new Map<string, Acceptor>();
 
   constructor(private readonly log: Log) {}
 
-  /** Takes links of a protocol. */
-  serve<Q, A>(
-    protocol: LinkProtocol<Q, A>,
-    onDidConnect: (link: MessageLink<A, Q>) => void,
+  /** Accepts links of a protocol. */
+  serve<Request, Response>(
+    protocol: LinkProtocol<Request, Response>,
+    onDidConnect: (link: MessageLink<Response, Request>) => void,
   ): void {
     const side = {
       outgoing: protocol.responses,
       incoming: protocol.requests,
       silenceMs: protocol.silenceMs,
     };
-    this.accepts.set(protocol.name, (socket, reader, signal) => {
-      const link = new MessageLink<A, Q>(socket, reader, side, signal);
+    this.acceptors.set(protocol.name, (socket, reader, signal) => {
+      const link = new MessageLink<Response, Request>(
+        socket,
+        reader,
+        side,
+        signal,
+      );
       onDidConnect(link);
       return link;
     });
   }
 
-  /** Starts listening; the bound port. It and its links end with the signal. */
+  /** Starts listening; resolves to the port. The signal also ends all links. */
   listen(address: string, signal: AbortSignal): Promise<Result<number, Error>> {
     const {host, port} = parseAddress(address) ?? {host: '', port: 0};
-    const server = createServer(socket => this.introduce(socket, signal));
+    const server = createServer(socket => this.handshake(socket, signal));
     signal.addEventListener('abort', () => server.close(), {once: true});
     return new Promise(resolve => {
       server.once('error', error => resolve(err(error)));
@@ -53,39 +58,44 @@
     });
   }
 
-  /** The first frame names the protocol. */
-  private introduce(socket: Socket, signal: AbortSignal): void {
+  /** Reads the first frame, which names the protocol. */
+  private handshake(socket: Socket, signal: AbortSignal): void {
     const reader = new FrameReader();
-    const refuse = (reason: string) => {
-      this.log.warn('Refused a link.', {from: peerOf(socket), reason});
+    const reject = (reason: string) => {
+      this.log.warn('Rejected an incoming link.', {
+        from: formatPeer(socket),
+        reason,
+      });
       socket.destroy();
     };
-    const cancel = after(signal, INTRODUCTION_MS, () => refuse('silent'));
-    const onError = (error: Error) => refuse(error.message);
+    const cancel = after(signal, HANDSHAKE_TIMEOUT_MS, () =>
+      reject('no protocol name in time'),
+    );
+    const onError = (error: Error) => reject(error.message);
     const onClose = () => cancel();
     const onData = (chunk: Buffer) => {
       let frames: Buffer[];
       try {
         frames = reader.push(chunk);
       } catch (error) {
-        return refuse(toError(error).message);
+        return reject(toError(error).message);
       }
       const [name, ...rest] = frames;
       if (!name) return;
       cancel();
       socket.off('data', onData).off('error', onError).off('close', onClose);
-      const accept = this.accepts.get(name.toString());
+      const accept = this.acceptors.get(name.toString());
       if (!accept) {
         socket.on('error', onError);
-        return refuse('unknown protocol');
+        return reject('unknown protocol');
       }
       const link = accept(socket, reader, signal);
-      for (const frame of rest) link.take(frame);
+      for (const frame of rest) link.receiveFrame(frame);
     };
     socket.on('data', onData).on('error', onError).on('close', onClose);
   }
 }
 
-function peerOf({remoteAddress, remotePort}: Socket): string {
+function formatPeer({remoteAddress, remotePort}: Socket): string {
   return `${remoteAddress}:${remotePort}`;
 }
--- a/src/base/node/suspension_clock.ts
+++ b/src/base/node/suspension_clock.ts
@@ -1,38 +1,36 @@
 import type {Clock} from '../common/clock';
 
-/** Steps of the time of day below this are its normal jitter, in ms. */
-const JITTER_MS = 5;
+/** Smaller differences to the steady clock are not a suspension. */
+const WALL_CLOCK_JITTER_MS = 5;
 
 /**
- * A monotonic clock that also counts time in which the machine was suspended.
+ * A monotonic clock that includes time in which the machine was suspended.
  *
- * Guard: the steady clock stands still while a machine is suspended, so
- * whatever was fresh before would still look fresh after it, and a read could
- * be older than promised. The time of day goes on; where it moved further than
- * the steady clock between two looks, its step counts. A time of day that is
- * set forward makes things look older than they are, which is safe.
+ * Guard: the steady clock stops during a suspension, so stale data would still
+ * count as fresh and be read. Where the wall clock advanced further, its step
+ * counts; if it was set forward, data only looks older, which is safe.
  */
 export class SuspensionClock implements Clock {
   private time = 0;
-  private lastSteady: number;
-  private lastDay: number;
+  private lastSteadyTime: number;
+  private lastWallTime: number;
 
   constructor(
-    private readonly steady: Clock,
-    private readonly timeOfDay: () => number,
+    private readonly steadyClock: Clock,
+    private readonly wallClock: () => number,
   ) {
-    this.lastSteady = steady.now();
-    this.lastDay = timeOfDay();
+    this.lastSteadyTime = steadyClock.now();
+    this.lastWallTime = wallClock();
   }
 
   now(): number {
-    const steady = this.steady.now();
-    const day = this.timeOfDay();
-    const bySteady = steady - this.lastSteady;
-    const byDay = day - this.lastDay;
-    this.time += byDay > bySteady + JITTER_MS ? byDay : bySteady;
-    this.lastSteady = steady;
-    this.lastDay = day;
+    const steadyTime = this.steadyClock.now();
+    const wallTime = this.wallClock();
+    const steadyMs = steadyTime - this.lastSteadyTime;
+    const wallMs = wallTime - this.lastWallTime;
+    this.time += wallMs > steadyMs + WALL_CLOCK_JITTER_MS ? wallMs : steadyMs;
+    this.lastSteadyTime = steadyTime;
+    this.lastWallTime = wallTime;
     return this.time;
   }
 }
--- a/src/base/node/task.ts
+++ b/src/base/node/task.ts
@@ -2,17 +2,17 @@
 import {MessageBuffer} from './message_buffer';
 
 /**
- * Tasks in the manner of communicating sequential processes, typed.
+ * A typed js-csp process.
  *
- * js-csp throws when more than 1,024 puts wait on a channel, and loses an
- * exception that a process throws. Mailboxes are therefore buffered and
- * bounded and never wait on a put, and a task that throws stops the program.
+ * js-csp throws when too many puts wait on a channel and swallows exceptions
+ * of a process. Mailboxes are therefore bounded buffers whose puts never wait,
+ * and a task that throws stops the program.
  */
 export type Task<T> = Generator<unknown, T, unknown>;
 
 const MAILBOX_CAPACITY = 16_384;
 
-/** The exit code of a program whose invariant broke. */
+/** EX_SOFTWARE of sysexits.h. */
 export const EXIT_BROKEN_INVARIANT = 70;
 
 /** A bounded queue of messages to one task. */
@@ -23,22 +23,22 @@
     this.channel = csp.chan(new MessageBuffer(capacity));
   }
 
-  /** Puts a message in; false when the mailbox is full or closed. */
+  /** Adds a message; false if the mailbox is full or closed. */
   post(message: M): boolean {
     return csp.offer(this.channel, message);
   }
 
-  /** Waits for the next message; undefined once closed and empty. */
+  /** Waits for the next message; undefined once it is closed and empty. */
   *receive(): Task<M | undefined> {
     const message = yield csp.take(this.channel);
     return message === csp.CLOSED ? undefined : (message as M);
   }
 
-  /** The next message if one is there. */
+  /** The next message, or undefined if there is none. */
   poll(): M | undefined {
     const message = csp.poll(this.channel);
-    const none = message === csp.NO_VALUE || message === csp.CLOSED;
-    return none ? undefined : (message as M);
+    const isEmpty = message === csp.NO_VALUE || message === csp.CLOSED;
+    return isEmpty ? undefined : (message as M);
   }
 
   close(): void {
@@ -46,30 +46,30 @@
   }
 }
 
-/** Waits inside a task for a promise; a rejection becomes a value. */
+/** Waits in a task for a promise; a rejection is returned as a value. */
 export function* settled<T>(
   promise: Promise<T>,
 ): Task<{readonly value: T} | {readonly error: Error}> {
-  const done = csp.chan(new MessageBuffer(1));
+  const result = csp.chan(new MessageBuffer(1));
   promise.then(
-    value => csp.putAsync(done, {value}),
-    error => csp.putAsync(done, {error: toError(error)}),
+    value => csp.putAsync(result, {value}),
+    error => csp.putAsync(result, {error: toError(error)}),
   );
-  return (yield csp.take(done)) as {value: T} | {error: Error};
+  return (yield csp.take(result)) as {value: T} | {error: Error};
 }
 
-/** Waits inside a task for a time, in milliseconds. */
+/** Waits in a task for a time. */
 export function* pause(milliseconds: number): Task<void> {
   yield* settled(new Promise(resolve => setTimeout(resolve, milliseconds)));
 }
 
-/** One answer that a task waits for; cheaper than a promise. */
+/** A value that a task waits for; cheaper than a promise. */
 export class Reply<T> {
   private readonly channel = csp.chan(new MessageBuffer(1));
 
-  /** Gives the answer; the first one counts. */
-  readonly give = (answer: T): void => {
-    csp.offer(this.channel, answer);
+  /** Sets the value; further calls have no effect. */
+  readonly give = (value: T): void => {
+    csp.offer(this.channel, value);
   };
 
   *wait(): Task<T> {
@@ -80,11 +80,11 @@
 /** Runs a task; the promise resolves when it ends. */
 export function startTask(name: string, body: () => Task<void>): Promise<void> {
   return new Promise(resolve => {
-    csp.spawn(guarded(name, body, resolve));
+    csp.spawn(runGuarded(name, body, resolve));
   });
 }
 
-function* guarded(
+function* runGuarded(
   name: string,
   body: () => Task<void>,
   onDidEnd: () => void,
@@ -97,13 +97,13 @@
   onDidEnd();
 }
 
-/** Ends the program: going on with broken state could break a promise. */
+/** Exits at once, since the state of the program is no longer valid. */
 export function stopOnBrokenInvariant(name: string, error: Error): never {
   process.stderr.write(`${name}: broken invariant: ${error.stack}\n`);
   process.exit(EXIT_BROKEN_INVARIANT);
 }
 
-/** Whatever was thrown, as an Error. */
+/** Converts a thrown value to an Error. */
 export function toError(thrown: unknown): Error {
   return thrown instanceof Error ? thrown : new Error(String(thrown));
 }
--- a/src/base/node/ticker.ts
+++ b/src/base/node/ticker.ts
@@ -1,75 +1,70 @@
-/**
- * What a process does periodically comes at multiples of this, in milliseconds:
- * a wake-up costs more than most of what it is for.
- */
-export const GRID_MS = 50;
-/** A timer may come so much before its time, in milliseconds. */
-const EARLY_MS = 1;
+/** Periods are rounded to multiples of this, to share wake-ups. */
+export const TICK_MS = 50;
+/** Timers may fire this much too early. */
+const TIMER_TOLERANCE_MS = 1;
 
-/** A callback that comes again and again. */
+/** A callback that runs periodically. */
 export interface PeriodicCallback {
-  /** How long until it comes next, in milliseconds; Infinity: it rests. */
+  /** Time until the next run, in milliseconds; Infinity while idle. */
   periodMs(): number;
-  onDidCome(): void;
+  onDidTick(): void;
 }
 
 /**
- * One timer for all that a process does periodically.
- *
- * With a timer of its own for each service and each link, a process that has
- * nothing to do would wake up for one after the other.
+ * Runs all periodic callbacks of a process from one timer, since separate
+ * timers for each service and link would wake up an idle process often.
  */
 export class Ticker {
-  private readonly dueAt = new Map<PeriodicCallback, number>();
+  private readonly dueTimes = new Map<PeriodicCallback, number>();
   private timer: NodeJS.Timeout | undefined;
-  private armedFor = Infinity;
+  private timerDueAt = Infinity;
 
   constructor(private readonly now: () => number) {}
 
-  /** Begins a callback, or has it come at its period as it is now. */
+  /** Adds a callback, or reschedules it with its current period. */
   schedule(periodic: PeriodicCallback): void {
-    const at = this.nextFor(periodic);
-    this.dueAt.set(periodic, at);
-    if (at < this.armedFor) this.arm(at);
+    const dueAt = this.computeDueAt(periodic);
+    this.dueTimes.set(periodic, dueAt);
+    if (dueAt < this.timerDueAt) this.arm(dueAt);
   }
 
   remove(periodic: PeriodicCallback): void {
-    this.dueAt.delete(periodic);
-    if (this.dueAt.size === 0) this.disarm();
+    this.dueTimes.delete(periodic);
+    if (this.dueTimes.size === 0) this.disarm();
   }
 
-  /** Those of the same period come together. */
-  private nextFor(periodic: PeriodicCallback): number {
+  /** Aligns callbacks of the same period, so that they run together. */
+  private computeDueAt(periodic: PeriodicCallback): number {
     const periodMs = periodic.periodMs();
     if (periodMs === Infinity) return Infinity;
-    const step = Math.max(1, Math.round(periodMs / GRID_MS)) * GRID_MS;
-    return Math.round((this.now() + step) / step) * step;
+    const intervalMs = Math.max(1, Math.round(periodMs / TICK_MS)) * TICK_MS;
+    return Math.round((this.now() + intervalMs) / intervalMs) * intervalMs;
   }
 
-  private arm(at: number): void {
+  private arm(dueAt: number): void {
     this.disarm();
-    if (at === Infinity) return;
-    this.armedFor = at;
-    const restMs = Math.max(1, Math.ceil(at - this.now()));
-    this.timer = setTimeout(() => this.run(), restMs);
+    if (dueAt === Infinity) return;
+    this.timerDueAt = dueAt;
+    const delayMs = Math.max(1, Math.ceil(dueAt - this.now()));
+    this.timer = setTimeout(() => this.run(), delayMs);
   }
 
   private disarm(): void {
     clearTimeout(this.timer);
-    this.armedFor = Infinity;
+    this.timerDueAt = Infinity;
   }
 
   private run(): void {
-    const now = this.now() + EARLY_MS;
-    for (const [periodic, at] of [...this.dueAt]) {
-      if (at > now || this.dueAt.get(periodic) !== at) continue;
-      periodic.onDidCome();
-      if (!this.dueAt.has(periodic)) continue;
-      this.dueAt.set(periodic, this.nextFor(periodic));
+    const now = this.now() + TIMER_TOLERANCE_MS;
+    for (const [periodic, dueAt] of [...this.dueTimes]) {
+      if (dueAt > now || this.dueTimes.get(periodic) !== dueAt) continue;
+      periodic.onDidTick();
+      if (!this.dueTimes.has(periodic)) continue;
+      this.dueTimes.set(periodic, this.computeDueAt(periodic));
     }
-    this.arm(Math.min(Infinity, ...this.dueAt.values()));
+    this.arm(Math.min(Infinity, ...this.dueTimes.values()));
   }
 }
 
-/** The ticker of this process. */
+/** The ticker that all timers of this process share. */
 export const processTicker = new Ticker(() => performance.now());
--- a/src/base/node/timers.ts
+++ b/src/base/node/timers.ts
@@ -1,9 +1,7 @@
 import {setMaxListeners} from 'node:events';
-import {GRID_MS, processTicker, type PeriodicCallback} from './ticker';
+import {TICK_MS, processTicker, type PeriodicCallback} from './ticker';
 
-/** Timers that end with an abort signal. */
-
-/** Calls back after a time, unless the signal aborts first. */
+/** Calls back after a time unless the signal aborts; returns a cancel. */
 export function after(
   signal: AbortSignal,
   milliseconds: number,
@@ -22,29 +20,32 @@
   return cancel;
 }
 
-/** Calls back again and again until the signal aborts. */
+/** Calls back periodically until the signal aborts. */
 export function every(
   signal: AbortSignal,
   milliseconds: number,
   callback: () => void,
 ): void {
   if (signal.aborted) return;
-  if (milliseconds < GRID_MS) return everyShort(signal, milliseconds, callback);
-  callUntil(signal, {periodMs: () => milliseconds, onDidCome: callback});
+  if (milliseconds < TICK_MS) return everyExact(signal, milliseconds, callback);
+  scheduleUntilAbort(signal, {
+    periodMs: () => milliseconds,
+    onDidTick: callback,
+  });
 }
 
-/** How often something is looked at, in milliseconds. */
+/** Intervals of a periodic check, in milliseconds. */
 export interface Periods {
-  /** While there is something to do. */
+  /** While there is work. */
   readonly busyMs: number;
-  /** While there is nothing to do; Infinity for not at all. */
+  /** While there is none; Infinity for no checks. */
   readonly restMs: number;
 }
 
 /**
- * Calls back again and again until the signal aborts, less often while there is
- * nothing to do, as the last call said. The result tells that there is
- * something to do from now on.
+ * Calls back periodically until the signal aborts; the callback returns whether
+ * there is work, which selects the interval. The returned function announces
+ * new work.
  */
 export function everyWhileBusy(
   signal: AbortSignal,
@@ -55,11 +56,11 @@
   let isBusy = true;
   const periodic = {
     periodMs: () => (isBusy ? busyMs : restMs),
-    onDidCome: () => {
+    onDidTick: () => {
       isBusy = callback();
     },
   };
-  callUntil(signal, periodic);
+  scheduleUntilAbort(signal, periodic);
   return () => {
     if (isBusy || signal.aborted) return;
     isBusy = true;
@@ -67,13 +68,17 @@
   };
 }
 
-function callUntil(signal: AbortSignal, periodic: PeriodicCallback): void {
+function scheduleUntilAbort(
+  signal: AbortSignal,
+  periodic: PeriodicCallback,
+): void {
   processTicker.schedule(periodic);
   const onAbort = () => processTicker.remove(periodic);
   signal.addEventListener('abort', onAbort, {once: true});
 }
 
-function everyShort(
+/** For periods below a tick, which the ticker would round up. */
+function everyExact(
   signal: AbortSignal,
   milliseconds: number,
   callback: () => void,
@@ -82,26 +87,26 @@
   signal.addEventListener('abort', () => clearInterval(timer), {once: true});
 }
 
-const ENDED = new Error('ended');
+const DEFAULT_REASON = new Error('ended');
 
 /**
- * Ends with one reason for all: without one, each end makes an error with the
- * stack of its own, which costs more than all else of a short connection's end.
+ * Aborts with a shared default reason: creating an error with a stack for each
+ * abort is expensive for short connections.
  */
-class OwnController extends AbortController {
-  override abort(reason: unknown = ENDED): void {
+class DefaultReasonController extends AbortController {
+  override abort(reason: unknown = DEFAULT_REASON): void {
     super.abort(reason);
   }
 }
 
-/** A controller whose signal any number of owners may listen to. */
+/** Creates a controller whose signal allows any number of listeners. */
 export function ownController(): AbortController {
-  const controller = new OwnController();
+  const controller = new DefaultReasonController();
   setMaxListeners(0, controller.signal);
   return controller;
 }
 
-/** A controller that aborts with its parent, and alone when told to. */
+/** Creates a controller that aborts with its parent or on its own. */
 export function childController(parent: AbortSignal): AbortController {
   const child = ownController();
   if (parent.aborted) {
--- a/src/base/test/node/line_sink.test.ts
+++ b/src/base/test/node/line_sink.test.ts
@@ -7,14 +7,14 @@
 import {LineSink} from './src/base/node/line_sink';
 const sink = new LineSink(1);
 const line = 'x'.repeat(1000);
-let taken = 0;
-for (let at = 0; at < 5000; at++) if (sink.writeLine(line)) taken++;
-process.stderr.write(String(taken));
+let accepted = 0;
+for (let i = 0; i < 5000; i++) if (sink.writeLine(line)) accepted++;
+process.stderr.write(String(accepted));
 `;
 
-it('does not wait for a reader that stalls', async () => {
-  // On-call pauses the program that collects the lines. A write that waits
-  // would stop the proxy with it, and every caller's session.
+it('does not block on a stalled reader', async () => {
+  // Guards against a paused log collector stopping the whole process through
+  // a blocking write.
   const {outputFiles} = buildSync({
     stdin: {contents: FLOOD, resolveDir: process.cwd(), loader: 'ts'},
     bundle: true,
@@ -24,8 +24,8 @@
   });
   const child = spawn(process.execPath, ['-e', outputFiles[0]!.text]);
   child.stdout.pause();
-  const [taken] = await once(child.stderr, 'data');
+  const [accepted] = await once(child.stderr, 'data');
   child.kill();
-  expect(Number(taken)).toBeGreaterThan(100);
-  expect(Number(taken)).toBeLessThan(5_000);
+  expect(Number(accepted)).toBeGreaterThan(100);
+  expect(Number(accepted)).toBeLessThan(5_000);
 });
--- a/src/base/test/node/message_link.test.ts
+++ b/src/base/test/node/message_link.test.ts
@@ -29,28 +29,28 @@
 type Link = MessageLink<string, string>;
 
 let stop: AbortController;
-let lines: string[];
+let logLines: string[];
 let accepted: Link[];
-let heard: string[];
-let ends: string[];
+let received: string[];
+let serverEndReasons: string[];
 let address: string;
 
 beforeEach(async () => {
   stop = ownController();
-  lines = [];
+  logLines = [];
   accepted = [];
-  heard = [];
-  ends = [];
-  const note = (sentence: string, fields: object = {}) => {
-    lines.push(`${sentence} ${JSON.stringify(fields)}`);
+  received = [];
+  serverEndReasons = [];
+  const record = (sentence: string, fields: object = {}) => {
+    logLines.push(`${sentence} ${JSON.stringify(fields)}`);
   };
-  const log = {info: note, warn: note, error: note, debug: note};
+  const log = {info: record, warn: record, error: record, debug: record};
   const server = new MessageServer(log);
   server.serve(PROTOCOL, link => {
     accepted.push(link);
     link.start({
-      onDidReceive: text => heard.push(text),
-      onDidEnd: reason => ends.push(reason),
+      onDidReceive: text => received.push(text),
+      onDidEnd: reason => serverEndReasons.push(reason),
     });
   });
   const port = await server.listen('127.0.0.1:0', stop.signal);
@@ -61,35 +61,35 @@
 
 const pause = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
-async function until(holds: () => boolean): Promise<void> {
-  for (let looks = 0; looks < 400 && !holds(); looks++) await pause(5);
-  expect(holds()).toBe(true);
+async function until(condition: () => boolean): Promise<void> {
+  for (let count = 0; count < 400 && !condition(); count++) await pause(5);
+  expect(condition()).toBe(true);
 }
 
-/** A link to the server, with what it hears and how it ends. */
+/** Opens a link to the server and records its messages and its end. */
 function open(to = address) {
-  const answers: string[] = [];
-  const over: string[] = [];
+  const responses: string[] = [];
+  const endReasons: string[] = [];
   const link = openLink(to, PROTOCOL, stop.signal);
   link.start({
-    onDidReceive: text => answers.push(text),
-    onDidEnd: reason => over.push(reason),
+    onDidReceive: text => responses.push(text),
+    onDidEnd: reason => endReasons.push(reason),
   });
-  return {link, answers, over};
+  return {link, responses, endReasons};
 }
 
-/** Passes bytes on until told to be silent: a cut that resets nothing. */
+/** Forwards bytes until it simulates a partition, without a reset. */
 class Relay {
   private readonly sockets: Socket[] = [];
   private readonly server: Server;
-  isSilent = false;
+  isPartitioned = false;
 
   constructor(to: string) {
     const port = Number(to.split(':')[1]);
-    this.server = createServer(near => {
-      const far = connect(port, '127.0.0.1');
-      this.pass(near, far);
-      this.pass(far, near);
+    this.server = createServer(clientSocket => {
+      const serverSocket = connect(port, '127.0.0.1');
+      this.forward(clientSocket, serverSocket);
+      this.forward(serverSocket, clientSocket);
     });
   }
 
@@ -105,17 +105,17 @@
     for (const socket of this.sockets) socket.destroy();
   }
 
-  private pass(from: Socket, to: Socket): void {
+  private forward(from: Socket, to: Socket): void {
     this.sockets.push(from);
     from.on('data', bytes => {
-      if (!this.isSilent) to.write(bytes);
+      if (!this.isPartitioned) to.write(bytes);
     });
     from.on('error', () => {});
   }
 }
 
 describe('frames', () => {
-  it('are whole however their bytes are cut', () => {
+  it('are complete however their bytes are split', () => {
     const texts = ['', 'a', 'b'.repeat(200), 'c'.repeat(20_000)];
     const bytes = Buffer.concat(texts.map(text => frameOf(Buffer.from(text))));
     for (const size of [1, 2, 3, 7, 128, 5_000, bytes.length]) {
@@ -129,90 +129,89 @@
     }
   });
 
-  it('of a size that nobody sends are refused', () => {
+  it('above the size limit are rejected', () => {
     const reader = new FrameReader();
-    const endless = Buffer.from([0xff, 0xff, 0xff, 0xff, 0x07, 1, 2]);
-    expect(() => reader.push(endless)).toThrow('2147483647 bytes');
+    const oversized = Buffer.from([0xff, 0xff, 0xff, 0xff, 0x07, 1, 2]);
+    expect(() => reader.push(oversized)).toThrow('2147483647 bytes');
   });
 });
 
 describe('a link', () => {
-  it('carries messages both ways, in order', async () => {
-    const {link, answers} = open();
+  it('carries messages in both directions, in order', async () => {
+    const {link, responses} = open();
     for (const text of ['one', 'two', 'three']) link.write(text);
-    await until(() => heard.length === 3);
-    expect(heard).toEqual(['one', 'two', 'three']);
+    await until(() => received.length === 3);
+    expect(received).toEqual(['one', 'two', 'three']);
     accepted[0]!.write('four');
-    await until(() => answers.length === 1);
-    expect(answers).toEqual(['four']);
+    await until(() => responses.length === 1);
+    expect(responses).toEqual(['four']);
   });
 
-  it('stays while both sides have nothing to say', async () => {
-    const {over} = open();
+  it('stays open while no messages are sent', async () => {
+    const {endReasons} = open();
     await pause(PROTOCOL.silenceMs * 4);
-    expect([over, ends]).toEqual([[], []]);
+    expect([endReasons, serverEndReasons]).toEqual([[], []]);
   });
 
-  it('is over at both sides after a silent cut', async () => {
-    // A switch drops every packet and resets nothing. A proxy would go on
-    // waiting for a leader that it cannot reach, and the leader would count
-    // a proxy that is gone, for as long as the kernel repeats packets.
+  it('ends on both sides after a network partition', async () => {
+    // Guards against both sides keeping a dead connection for as long as the
+    // kernel retransmits packets.
     const relay = new Relay(address);
-    const {over, link} = open(await relay.start());
+    const {endReasons, link} = open(await relay.start());
     link.write('before');
-    await until(() => heard.length === 1);
-    relay.isSilent = true;
-    await until(() => over.length === 1 && ends.length === 1);
-    expect([over, ends]).toEqual([['silent'], ['silent']]);
+    await until(() => received.length === 1);
+    relay.isPartitioned = true;
+    await until(() => endReasons.length === 1 && serverEndReasons.length === 1);
+    expect([endReasons, serverEndReasons]).toEqual([['silent'], ['silent']]);
     relay.close();
   });
 
-  it('sends what was written before it finishes', async () => {
-    const {answers, over} = open();
+  it('sends queued messages before it ends', async () => {
+    const {responses, endReasons} = open();
     await until(() => accepted.length === 1);
-    accepted[0]!.write('follow another one');
+    accepted[0]!.write('last message');
     accepted[0]!.finish();
     accepted[0]!.write('too late');
-    await until(() => over.length === 1);
-    expect(answers).toEqual(['follow another one']);
-    expect(ends).toEqual([]);
+    await until(() => endReasons.length === 1);
+    expect(responses).toEqual(['last message']);
+    expect(serverEndReasons).toEqual([]);
   });
 
-  it('ends where the other side sends what cannot be read', async () => {
-    const {link, over} = open();
+  it('ends when the peer sends an unreadable message', async () => {
+    const {link, endReasons} = open();
     link.write('unreadable');
-    await until(() => over.length === 1);
-    expect(ends).toEqual(['unreadable: not a text']);
+    await until(() => endReasons.length === 1);
+    expect(serverEndReasons).toEqual(['unreadable message: not a text']);
   });
 
-  it('ends where the other side reads nothing', async () => {
-    // A process that hangs keeps its connections. What is meant for it would
-    // fill the memory of all that talk to it.
-    const {link, over} = open();
+  it('ends when the peer does not read', async () => {
+    // Guards against a hung process filling the memory of its peers, whose
+    // connections to it stay open.
+    const {link, endReasons} = open();
     await until(() => accepted.length === 1);
     const large = 'x'.repeat(1024 * 1024);
     for (let count = 0; count < 8; count++) link.write(large);
-    expect(over).toEqual(['the other side does not read']);
+    expect(endReasons).toEqual(['the peer does not read']);
   });
 
-  it('counts as lost where nobody listens', async () => {
-    const {over} = open('127.0.0.1:1');
-    await until(() => over.length === 1);
-    expect(over[0]).toContain('ECONNREFUSED');
+  it('ends when nothing listens at the address', async () => {
+    const {endReasons} = open('127.0.0.1:1');
+    await until(() => endReasons.length === 1);
+    expect(endReasons[0]).toContain('ECONNREFUSED');
   });
 });
 
-describe('whoever speaks another protocol', () => {
+describe('a connection with another protocol', () => {
   it.each([
     ['an unknown name', frameOf(Buffer.from('chess')), 'unknown protocol'],
-    ['a caller of HTTP', Buffer.from('\xff\xff\xff\xff\x07GET /'), 'bytes'],
-  ])('is refused: %s', async (...[, bytes, reason]) => {
+    ['an HTTP client', Buffer.from('\xff\xff\xff\xff\x07GET /'), 'bytes'],
+  ])('is rejected: %s', async (...[, bytes, reason]) => {
     const socket = connect(Number(address.split(':')[1]), '127.0.0.1');
     socket.on('error', () => {});
     const closed = new Promise(resolve => socket.on('close', resolve));
     socket.write(bytes);
     await closed;
-    expect(lines.join('\n')).toContain(reason);
+    expect(logLines.join('\n')).toContain(reason);
     expect(accepted).toEqual([]);
   });
 });
--- a/src/base/test/node/ticker.test.ts
+++ b/src/base/test/node/ticker.test.ts
@@ -1,92 +1,93 @@
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
-import {GRID_MS, Ticker, type PeriodicCallback} from '../../node/ticker';
+import {TICK_MS, Ticker, type PeriodicCallback} from '../../node/ticker';
 
 let ticker: Ticker;
 let now = 0;
-let wakeUps = 0;
+let wakeUpCount = 0;
 
-function makeBeat(
+function makePeriodic(
   periodMs: () => number,
 ): PeriodicCallback & {times: number[]} {
   const times: number[] = [];
-  return {times, periodMs, onDidCome: () => times.push(now)};
+  return {times, periodMs, onDidTick: () => times.push(now)};
 }
 
-/** Lets time pass; counts the moments at which the process has to wake up. */
-function pass(milliseconds: number): void {
+/** Advances time; counts the moments at which the process wakes up. */
+function advance(milliseconds: number): void {
   for (const until = now + milliseconds; now < until;) {
     now++;
     const before = vi.getTimerCount();
     vi.advanceTimersByTime(1);
-    if (vi.getTimerCount() < before || hasCome()) wakeUps++;
+    if (vi.getTimerCount() < before || hasRun()) wakeUpCount++;
   }
 }
 
-let beats: (PeriodicCallback & {times: number[]})[] = [];
-const hasCome = () => beats.some(({times}) => times.at(-1) === now);
+let periodics: (PeriodicCallback & {times: number[]})[] = [];
+const hasRun = () => periodics.some(({times}) => times.at(-1) === now);
 
 beforeEach(() => {
   vi.useFakeTimers();
   now = 7;
-  wakeUps = 0;
-  beats = [];
+  wakeUpCount = 0;
+  periodics = [];
   ticker = new Ticker(() => now);
 });
 
 afterEach(() => vi.useRealTimers());
 
-describe('beats of one process', () => {
-  it('come together where they have the same period', () => {
-    // A proxy before six services, with links to forty others, has some fifty
-    // things to look at, each begun at another moment. Each of them with a
-    // timer of its own, it wakes up for one after the other.
+describe('periodic callbacks of one process', () => {
+  it('run together if they have the same period', () => {
+    // Guards against an idle process waking up separately for each of its
+    // many periodic checks, which were started at different moments.
     for (let count = 0; count < 50; count++) {
-      const beat = makeBeat(() => 250);
-      beats.push(beat);
-      ticker.schedule(beat);
-      pass(3);
+      const periodic = makePeriodic(() => 250);
+      periodics.push(periodic);
+      ticker.schedule(periodic);
+      advance(3);
     }
-    pass(1_000);
-    wakeUps = 0;
-    pass(1_000);
-    expect(wakeUps).toBe(4);
-    expect(new Set(beats.map(({times}) => times.at(-1))).size).toBe(1);
+    advance(1_000);
+    wakeUpCount = 0;
+    advance(1_000);
+    expect(wakeUpCount).toBe(4);
+    expect(new Set(periodics.map(({times}) => times.at(-1))).size).toBe(1);
   });
 
-  it('come at their periods, to half a step at the beginning', () => {
-    const beat = makeBeat(() => 300);
-    beats.push(beat);
-    ticker.schedule(beat);
-    pass(1_000);
-    expect(beat.times).toEqual([300, 600, 900]);
+  it('run at their periods, the first within half a period', () => {
+    const periodic = makePeriodic(() => 300);
+    periodics.push(periodic);
+    ticker.schedule(periodic);
+    advance(1_000);
+    expect(periodic.times).toEqual([300, 600, 900]);
   });
 
-  it('cost nothing while they rest, and come soon when told', () => {
+  it('cause no wake-ups while idle, and run soon once rescheduled', () => {
     let periodMs = Infinity;
-    const beat = makeBeat(() => periodMs);
-    beats.push(beat);
-    ticker.schedule(beat);
-    pass(10_000);
-    expect(wakeUps).toBe(0);
-    periodMs = GRID_MS;
-    const toldAt = now;
-    ticker.schedule(beat);
-    pass(2 * GRID_MS);
-    expect(beat.times[0]! - toldAt).toBeLessThanOrEqual(1.5 * GRID_MS);
+    const periodic = makePeriodic(() => periodMs);
+    periodics.push(periodic);
+    ticker.schedule(periodic);
+    advance(10_000);
+    expect(wakeUpCount).toBe(0);
+    periodMs = TICK_MS;
+    const rescheduledAt = now;
+    ticker.schedule(periodic);
+    advance(2 * TICK_MS);
+    expect(periodic.times[0]! - rescheduledAt).toBeLessThanOrEqual(
+      1.5 * TICK_MS,
+    );
   });
 
-  it('end, also from within one of them', () => {
-    const last = makeBeat(() => 100);
+  it('can be removed, also while one of them runs', () => {
+    const last = makePeriodic(() => 100);
     const first: PeriodicCallback = {
       periodMs: () => 100,
-      onDidCome: () => {
+      onDidTick: () => {
         ticker.remove(last);
         ticker.remove(first);
       },
     };
     ticker.schedule(first);
     ticker.schedule(last);
-    pass(1_000);
+    advance(1_000);
     expect(last.times).toEqual([]);
     expect(vi.getTimerCount()).toBe(0);
   });
--- a/src/base/test/node/timers.test.ts
+++ b/src/base/test/node/timers.test.ts
@@ -1,16 +1,16 @@
 import {describe, expect, it} from 'vitest';
 import {childController, ownController} from '../../node/timers';
 
-describe('a controller', () => {
-  it('makes no error of its own when it ends', () => {
-    const one = ownController();
-    const other = childController(one.signal);
-    one.abort();
-    expect(other.signal.aborted).toBe(true);
-    expect(other.signal.reason).toBe(one.signal.reason);
+describe('an abort controller', () => {
+  it('shares its default reason with its children', () => {
+    const parent = ownController();
+    const child = childController(parent.signal);
+    parent.abort();
+    expect(child.signal.aborted).toBe(true);
+    expect(child.signal.reason).toBe(parent.signal.reason);
   });
 
-  it('keeps a reason that is given', () => {
+  it('keeps a given reason', () => {
     const controller = ownController();
     const reason = new Error('a reason');
     controller.abort(reason);
