--- a/bench/failover_gap.ts
+++ b/bench/failover_gap.ts
@@ -105,8 +105,8 @@
   result: LoadReport,
 ): FailoverMeasurement {
   const log = fleet.controls.map(control => control.log).join('\n');
-  const changeStartedAt = findLogTime(log, 'Begins a change', faultAt);
-  const primaryChosenAt = findLogTime(log, 'Chooses a primary', faultAt);
+  const changeStartedAt = findLogTime(log, 'Began a change', faultAt);
+  const primaryChosenAt = findLogTime(log, 'Chose a primary', faultAt);
   const write = result.classes.find(({kind}) => kind === 'write')!;
   const detectionMs = changeStartedAt - faultAt;
   const promotionMs = primaryChosenAt - changeStartedAt;
--- a/src/base/node/grpc.ts
+++ b/src/base/node/grpc.ts
@@ -4,7 +4,7 @@
   ServerCredentials,
   type ChannelOptions,
 } from '@grpc/grpc-js';
-import {err, ok, type Result} from '../common/outcome';
+import {err, ok, type Result} from '../common/result';
 
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 
@@ -14,7 +14,7 @@
  * Guard: after a network partition a stream would stay open for minutes. The
  * keepalive closes it within seconds, and the channel reconnects quickly.
  */
-export const LINK_OPTIONS: ChannelOptions = {
+export const CHANNEL_OPTIONS: ChannelOptions = {
   'grpc.keepalive_time_ms': 1_000,
   'grpc.keepalive_timeout_ms': 1_000,
   'grpc.keepalive_permit_without_calls': 1,
@@ -29,11 +29,11 @@
 };
 
 /** Credentials of all channels; TLS between processes would be set here. */
-export const LINK_CREDENTIALS = credentials.createInsecure();
+export const CHANNEL_CREDENTIALS = credentials.createInsecure();
 
 /** Creates a gRPC server with the options of the system's processes. */
 export function createServer(): Server {
-  return new Server(LINK_OPTIONS);
+  return new Server(CHANNEL_OPTIONS);
 }
 
 /** Starts listening; resolves to the port. The signal shuts the server down. */
--- a/src/base/node/message_frames.ts
+++ b/src/base/node/message_frames.ts
@@ -11,11 +11,11 @@
 
 /** Encodes a message as a frame: length-delimited, as in protobuf streams. */
 export function encodeFrame<M>(codec: MessageCodec<M>, message: M): Uint8Array {
-  return frameOf(codec.encode(message).finish());
+  return encodeBytes(codec.encode(message).finish());
 }
 
 /** Encodes bytes as a frame: their length as a varint, then the bytes. */
-export function frameOf(bytes: Uint8Array): Uint8Array {
+export function encodeBytes(bytes: Uint8Array): Uint8Array {
   return new BinaryWriter().bytes(bytes).finish();
 }
 
--- a/src/base/node/message_link.ts
+++ b/src/base/node/message_link.ts
@@ -2,12 +2,12 @@
 import {parseAddress} from '../common/address';
 import {
   encodeFrame,
-  frameOf,
+  encodeBytes,
   FrameReader,
   type MessageCodec,
 } from './message_frames';
 import {toError} from './task';
-import {after, childController, every} from './timers';
+import {after, createChildController, every} from './timers';
 
 /** The messages that two processes exchange on one kind of link. */
 export interface LinkProtocol<Request, Response> {
@@ -18,7 +18,7 @@
   /** Messages of the side that listens. */
   readonly responses: MessageCodec<Response>;
   /** A link that receives no byte for about this long is closed. */
-  readonly silenceMs: number;
+  readonly maxSilenceMs: number;
 }
 
 /** Events of a link, for its owner. */
@@ -32,7 +32,7 @@
 export interface LinkSide<Out, In> {
   readonly outgoing: MessageCodec<Out>;
   readonly incoming: MessageCodec<In>;
-  readonly silenceMs: number;
+  readonly maxSilenceMs: number;
 }
 
 /**
@@ -46,7 +46,7 @@
 /** Bounds memory: with more queued bytes, the peer is not reading. */
 const MAX_QUEUED_BYTES = 4 * 1024 * 1024;
 /** Sent when there is no message, so that the peer does not time out. */
-const HEARTBEAT_FRAME = frameOf(new Uint8Array(0));
+const HEARTBEAT_FRAME = encodeBytes(new Uint8Array(0));
 
 /**
  * A connection between two processes of the system that carries messages of
@@ -76,16 +76,20 @@
     this.peer = address ?? `${socket.remoteAddress}:${socket.remotePort}`;
     this.wasOpened = !socket.connecting;
     socket.once('connect', () => (this.wasOpened = true));
-    this.controller = childController(signal);
+    this.controller = createChildController(signal);
     socket.setNoDelay(true);
     socket.on('data', chunk => this.onData(chunk));
     socket.on('error', error => this.fail(error.message));
     socket.on('end', () => this.fail('ended by the peer'));
     socket.on('close', () => this.fail('closed'));
     this.controller.signal.addEventListener('abort', () => socket.destroy());
-    every(this.controller.signal, side.silenceMs / CHECKS_PER_SILENCE, () => {
-      this.checkSilence();
-    });
+    every(
+      this.controller.signal,
+      side.maxSilenceMs / CHECKS_PER_SILENCE,
+      () => {
+        this.checkSilence();
+      },
+    );
   }
 
   /** Whether the connection was ever established. */
@@ -98,7 +102,7 @@
   }
 
   /** Bytes that were written but not yet sent. */
-  get waitingBytes(): number {
+  get queuedBytes(): number {
     return this.socket.writableLength;
   }
 
@@ -117,7 +121,7 @@
     this.hasWritten = true;
     this.corkUntilNextTick();
     this.socket.write(frame);
-    if (this.waitingBytes > MAX_QUEUED_BYTES) {
+    if (this.queuedBytes > MAX_QUEUED_BYTES) {
       this.fail('the peer does not read');
     }
   }
@@ -143,12 +147,12 @@
   }
 
   /** Ends the link once all queued bytes are sent, without further events. */
-  finish(): void {
+  endAfterFlush(): void {
     if (this.isEnded || this.isFlushing) return;
     this.isFlushing = true;
     this.listener = undefined;
     this.socket.end();
-    after(this.controller.signal, this.side.silenceMs, () => this.end());
+    after(this.controller.signal, this.side.maxSilenceMs, () => this.end());
   }
 
   /** Ends the link at once, without further events. */
@@ -206,7 +210,7 @@
   const side = {
     outgoing: protocol.requests,
     incoming: protocol.responses,
-    silenceMs: protocol.silenceMs,
+    maxSilenceMs: protocol.maxSilenceMs,
   };
   const reader = new FrameReader();
   const link = new MessageLink<Request, Response>(
@@ -216,7 +220,7 @@
     signal,
     address,
   );
-  link.writeFrame(frameOf(Buffer.from(protocol.name)));
+  link.writeFrame(encodeBytes(Buffer.from(protocol.name)));
   link.setConnectTimeout(CONNECT_TIMEOUT_MS);
   return link;
 }
--- a/src/base/node/message_server.ts
+++ b/src/base/node/message_server.ts
@@ -1,7 +1,7 @@
 import {createServer, type Socket} from 'node:net';
 import type {AddressInfo} from 'node:net';
 import {parseAddress} from '../common/address';
-import {err, ok, type Result} from '../common/outcome';
+import {err, ok, type Result} from '../common/result';
 import type {Log} from './log';
 import {FrameReader} from './message_frames';
 import {MessageLink, type LinkProtocol} from './message_link';
@@ -31,7 +31,7 @@
     const side = {
       outgoing: protocol.responses,
       incoming: protocol.requests,
-      silenceMs: protocol.silenceMs,
+      maxSilenceMs: protocol.maxSilenceMs,
     };
     this.acceptors.set(protocol.name, (socket, reader, signal) => {
       const link = new MessageLink<Response, Request>(
--- a/src/base/node/program.ts
+++ b/src/base/node/program.ts
@@ -1,4 +1,4 @@
-import {ownController} from './timers';
+import {createAbortController} from './timers';
 
 declare const PROGRAM_VERSION: string;
 
@@ -13,8 +13,8 @@
 export const EXIT_SETTINGS = 78;
 
 /** Creates a signal that aborts on SIGTERM or SIGINT. */
-export function stopSignal(): AbortSignal {
-  const controller = ownController();
+export function createStopSignal(): AbortSignal {
+  const controller = createAbortController();
   for (const name of ['SIGTERM', 'SIGINT'] as const) {
     process.once(name, () => controller.abort());
   }
@@ -22,7 +22,7 @@
 }
 
 /** Prints lines to standard error and exits. */
-export function fail(code: number, lines: readonly string[]): never {
+export function exit(code: number, lines: readonly string[]): never {
   process.stderr.write(`${lines.join('\n')}\n`);
   process.exit(code);
 }
--- a/src/base/node/suspension_clock.ts
+++ b/src/base/node/suspend_aware_clock.ts
@@ -10,7 +10,7 @@
  * count as fresh and be read. Where the wall clock advanced further, its step
  * counts; if it was set forward, data only looks older, which is safe.
  */
-export class SuspensionClock implements Clock {
+export class SuspendAwareClock implements Clock {
   private time = 0;
   private lastSteadyTime: number;
   private lastWallTime: number;
--- a/src/base/node/task.ts
+++ b/src/base/node/task.ts
@@ -59,16 +59,16 @@
 }
 
 /** Waits in a task for a time. */
-export function* pause(milliseconds: number): Task<void> {
+export function* sleep(milliseconds: number): Task<void> {
   yield* settled(new Promise(resolve => setTimeout(resolve, milliseconds)));
 }
 
 /** A value that a task waits for; cheaper than a promise. */
-export class Reply<T> {
+export class PendingReply<T> {
   private readonly channel = csp.chan(new MessageBuffer(1));
 
   /** Sets the value; further calls have no effect. */
-  readonly give = (value: T): void => {
+  readonly resolve = (value: T): void => {
     csp.offer(this.channel, value);
   };
 
--- a/src/base/node/timers.ts
+++ b/src/base/node/timers.ts
@@ -39,7 +39,7 @@
   /** While there is work. */
   readonly busyMs: number;
   /** While there is none; Infinity for no checks. */
-  readonly restMs: number;
+  readonly idleMs: number;
 }
 
 /**
@@ -49,13 +49,13 @@
  */
 export function everyWhileBusy(
   signal: AbortSignal,
-  {busyMs, restMs}: Periods,
+  {busyMs, idleMs}: Periods,
   callback: () => boolean,
 ): () => void {
   if (signal.aborted) return () => {};
   let isBusy = true;
   const periodic = {
-    periodMs: () => (isBusy ? busyMs : restMs),
+    periodMs: () => (isBusy ? busyMs : idleMs),
     onDidTick: () => {
       isBusy = callback();
     },
@@ -100,15 +100,15 @@
 }
 
 /** Creates a controller whose signal allows any number of listeners. */
-export function ownController(): AbortController {
+export function createAbortController(): AbortController {
   const controller = new DefaultReasonController();
   setMaxListeners(0, controller.signal);
   return controller;
 }
 
 /** Creates a controller that aborts with its parent or on its own. */
-export function childController(parent: AbortSignal): AbortController {
-  const child = ownController();
+export function createChildController(parent: AbortSignal): AbortController {
+  const child = createAbortController();
   if (parent.aborted) {
     child.abort();
     return child;
--- a/src/base/test/node/message_link.test.ts
+++ b/src/base/test/node/message_link.test.ts
@@ -1,14 +1,14 @@
 import {createServer, connect, type Server, type Socket} from 'node:net';
 import type {AddressInfo} from 'node:net';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
-import {frameOf, FrameReader} from '../../node/message_frames';
+import {encodeBytes, FrameReader} from '../../node/message_frames';
 import {
   openLink,
   type LinkProtocol,
   type MessageLink,
 } from '../../node/message_link';
 import {MessageServer} from '../../node/message_server';
-import {ownController} from '../../node/timers';
+import {createAbortController} from '../../node/timers';
 
 const TEXT = {
   encode: (text: string) => ({finish: () => Buffer.from(text)}),
@@ -23,7 +23,7 @@
   name: 'texts',
   requests: TEXT,
   responses: TEXT,
-  silenceMs: 140,
+  maxSilenceMs: 140,
 };
 
 type Link = MessageLink<string, string>;
@@ -36,7 +36,7 @@
 let address: string;
 
 beforeEach(async () => {
-  stop = ownController();
+  stop = createAbortController();
   logLines = [];
   accepted = [];
   received = [];
@@ -117,7 +117,9 @@
 describe('frames', () => {
   it('are complete however their bytes are split', () => {
     const texts = ['', 'a', 'b'.repeat(200), 'c'.repeat(20_000)];
-    const bytes = Buffer.concat(texts.map(text => frameOf(Buffer.from(text))));
+    const bytes = Buffer.concat(
+      texts.map(text => encodeBytes(Buffer.from(text))),
+    );
     for (const size of [1, 2, 3, 7, 128, 5_000, bytes.length]) {
       const reader = new FrameReader();
       const read: string[] = [];
@@ -149,7 +151,7 @@
 
   it('stays open while no messages are sent', async () => {
     const {endReasons} = open();
-    await pause(PROTOCOL.silenceMs * 4);
+    await pause(PROTOCOL.maxSilenceMs * 4);
     expect([endReasons, serverEndReasons]).toEqual([[], []]);
   });
 
@@ -170,7 +172,7 @@
     const {responses, endReasons} = open();
     await until(() => accepted.length === 1);
     accepted[0]!.write('last message');
-    accepted[0]!.finish();
+    accepted[0]!.endAfterFlush();
     accepted[0]!.write('too late');
     await until(() => endReasons.length === 1);
     expect(responses).toEqual(['last message']);
@@ -203,7 +205,7 @@
 
 describe('a connection with another protocol', () => {
   it.each([
-    ['an unknown name', frameOf(Buffer.from('chess')), 'unknown protocol'],
+    ['an unknown name', encodeBytes(Buffer.from('chess')), 'unknown protocol'],
     ['an HTTP client', Buffer.from('\xff\xff\xff\xff\x07GET /'), 'bytes'],
   ])('is rejected: %s', async (...[, bytes, reason]) => {
     const socket = connect(Number(address.split(':')[1]), '127.0.0.1');
--- a/src/base/test/node/suspension_clock.test.ts
+++ b/src/base/test/node/suspend_aware_clock.test.ts
@@ -1,11 +1,11 @@
 import {expect, it} from 'vitest';
 import {ManualClock} from '../../common/clock';
-import {SuspensionClock} from '../../node/suspension_clock';
+import {SuspendAwareClock} from '../../node/suspend_aware_clock';
 
 function makeClock() {
   const steady = new ManualClock();
   const wall = {time: 5_000};
-  const clock = new SuspensionClock(steady, () => wall.time);
+  const clock = new SuspendAwareClock(steady, () => wall.time);
   const advance = (steadyMs: number, wallMs: number) => {
     steady.advance(steadyMs);
     wall.time += wallMs;
--- a/src/control/node/control_log.ts
+++ b/src/control/node/control_log.ts
@@ -1,4 +1,4 @@
-import type {Result} from '../../base/common/outcome';
+import type {Result} from '../../base/common/result';
 import type {RefusalReason} from '../../services/consensus/common/consensus_types';
 import type {ConsensusNode} from '../../services/consensus/node/consensus_node';
 import {Command} from '../../schema/generated/control';
--- a/src/control/node/failover_driver.ts
+++ b/src/control/node/failover_driver.ts
@@ -174,7 +174,7 @@
       value,
     });
     if (!isNew) return;
-    this.logger.info('Begins a change of primary.', {service, term, cause});
+    this.logger.info('Began a change of primary.', {service, term, cause});
   }
 
   private completeChange(
@@ -197,7 +197,7 @@
       value,
     });
     if (!isNew) return;
-    this.logger.info('Chooses a primary.', {service, term, primary});
+    this.logger.info('Chose a primary.', {service, term, primary});
   }
 
   private onBlocked(record: ServiceRecord, reason: string): void {
--- a/src/control/node/leadership.ts
+++ b/src/control/node/leadership.ts
@@ -151,7 +151,7 @@
         this.becameLeaderAt,
       );
       if (now - lastSeenAt < PROXY_EXPIRY_MS) continue;
-      this.leases.forget(proxy);
+      this.leases.remove(proxy);
       this.log.proposeOnce(removalPurpose(proxy), {
         $case: 'forgetProxy',
         value: {proxy},
--- a/src/control/node/main.ts
+++ b/src/control/node/main.ts
@@ -9,8 +9,8 @@
   EXIT_SETTINGS,
   EXIT_UNAVAILABLE,
   EXIT_USAGE,
-  fail,
-  stopSignal,
+  exit,
+  createStopSignal,
   VERSION,
 } from '../../base/node/program';
 import {every} from '../../base/node/timers';
@@ -63,9 +63,11 @@
   );
   if (!self) {
     const names = fileSettings.control.map(({instance}) => instance).join(', ');
-    fail(EXIT_USAGE, [`--instance ${args.instance} is not one of: ${names}`]);
+    exit(EXIT_USAGE, [
+      `--instance ${args.instance}: expected one of: ${names}`,
+    ]);
   }
-  const signal = stopSignal();
+  const signal = createStopSignal();
   const clock = new MonotonicClock();
   const {core, storage} = await openConsensus(args, fileSettings, self.address);
   const stateMachine = new ControlStateMachine();
@@ -91,7 +93,7 @@
       },
       onDidApply: () => leadership?.drive(),
       onDidFail: ({kind, detail}) => {
-        fail(EXIT_IO_ERROR, [`control: data folder ${kind}: ${detail}`]);
+        exit(EXIT_IO_ERROR, [`control: data folder ${kind}: ${detail}`]);
       },
     },
     clock,
@@ -104,7 +106,7 @@
       leadership?.drive();
     },
     onDidSample: () => {},
-    onDidAnswerOrder: () => leadership?.drive(),
+    onDidReplyToOrder: () => leadership?.drive(),
   });
   const dependencies = {
     machine,
@@ -132,7 +134,7 @@
     consensusHandlers(node, transport, () => leadership),
   );
   const listening = await listen(server, self.address, signal);
-  if (listening.isErr) fail(EXIT_UNAVAILABLE, [listening.error.message]);
+  if (listening.isErr) exit(EXIT_UNAVAILABLE, [listening.error.message]);
 
   observer.start(fileSettings.system.pingMs, signal);
   every(signal, DRIVE_INTERVAL_MS, () => leadership?.drive());
@@ -149,7 +151,7 @@
 function loadSettingsOrExit(file: string): Settings {
   const settings = loadSettings(file, '');
   if (settings.isErr) {
-    fail(EXIT_SETTINGS, settings.error.map(formatSettingsError));
+    exit(EXIT_SETTINGS, settings.error.map(formatSettingsError));
   }
   return settings.value;
 }
@@ -162,7 +164,7 @@
   const opened = await LogStorage.open(args.data, args.instance);
   if (opened.isErr) {
     const {kind, detail} = opened.error;
-    fail(EXIT_IO_ERROR, [`control: data folder ${kind}: ${detail}`]);
+    exit(EXIT_IO_ERROR, [`control: data folder ${kind}: ${detail}`]);
   }
   const {storage, id} = opened.value;
   let {persisted} = opened.value;
@@ -173,7 +175,7 @@
     persisted = singlePeerState({id, address, voter: true});
     const {snapshot} = persisted;
     const installed = await storage.install(snapshot, []);
-    if (installed.isErr) fail(EXIT_IO_ERROR, [installed.error.detail]);
+    if (installed.isErr) exit(EXIT_IO_ERROR, [installed.error.detail]);
   }
   const core = new Consensus(
     id,
--- a/src/control/node/peer_transport.ts
+++ b/src/control/node/peer_transport.ts
@@ -1,5 +1,9 @@
 import {Metadata} from '@grpc/grpc-js';
-import {deadlineIn, LINK_CREDENTIALS, LINK_OPTIONS} from '../../base/node/grpc';
+import {
+  deadlineIn,
+  CHANNEL_CREDENTIALS,
+  CHANNEL_OPTIONS,
+} from '../../base/node/grpc';
 import type {ConsensusTransport} from '../../services/consensus/node/consensus_node';
 import type {JoinTransport} from '../../services/consensus/node/join_requests';
 import {PeerAddresses} from '../../services/consensus/node/peer_addresses';
@@ -38,7 +42,7 @@
 
   /** Records the reply address that a peer's message carries. */
   recordAddress(message: ConsensusMessage): void {
-    this.addresses.learn(message);
+    this.addresses.add(message);
   }
 
   send(message: ConsensusMessage, configuration: Configuration): void {
@@ -70,7 +74,11 @@
   private peerAt(address: string): Peer {
     const existing = this.peers.get(address);
     if (existing) return existing;
-    const client = new ConsensusClient(address, LINK_CREDENTIALS, LINK_OPTIONS);
+    const client = new ConsensusClient(
+      address,
+      CHANNEL_CREDENTIALS,
+      CHANNEL_OPTIONS,
+    );
     const peer = {client, pendingCount: 0};
     this.peers.set(address, peer);
     return peer;
--- a/src/control/test/node/join_requests.test.ts
+++ b/src/control/test/node/join_requests.test.ts
@@ -1,7 +1,7 @@
 import {afterEach, describe, expect, it} from 'vitest';
 import {createServer, listen} from '../../../base/node/grpc';
 import {MessageServer} from '../../../base/node/message_server';
-import {ownController} from '../../../base/node/timers';
+import {createAbortController} from '../../../base/node/timers';
 import type {JoinReply, JoinRequest} from '../../../schema/generated/consensus';
 import {
   ConsensusService,
@@ -58,7 +58,7 @@
 ];
 
 describe.each(FIXTURES)('an instance that joins over $kind', fixture => {
-  const stop = ownController();
+  const stop = createAbortController();
 
   afterEach(() => stop.abort());
 
--- a/src/ctl/node/control_calls.ts
+++ b/src/ctl/node/control_calls.ts
@@ -1,6 +1,10 @@
 import {Metadata, type ServiceError} from '@grpc/grpc-js';
-import {err, ok, type Result} from '../../base/common/outcome';
-import {deadlineIn, LINK_CREDENTIALS, LINK_OPTIONS} from '../../base/node/grpc';
+import {err, ok, type Result} from '../../base/common/result';
+import {
+  deadlineIn,
+  CHANNEL_CREDENTIALS,
+  CHANNEL_OPTIONS,
+} from '../../base/node/grpc';
 import {
   ControlClient,
   type ChangeOutcome,
@@ -79,7 +83,11 @@
   private clientFor(address: string): ControlClient {
     const existing = this.clients.get(address);
     if (existing) return existing;
-    const client = new ControlClient(address, LINK_CREDENTIALS, LINK_OPTIONS);
+    const client = new ControlClient(
+      address,
+      CHANNEL_CREDENTIALS,
+      CHANNEL_OPTIONS,
+    );
     this.clients.set(address, client);
     return client;
   }
--- a/src/ctl/node/main.ts
+++ b/src/ctl/node/main.ts
@@ -13,7 +13,7 @@
 import {
   EXIT_SETTINGS,
   EXIT_UNAVAILABLE,
-  fail,
+  exit,
   VERSION,
 } from '../../base/node/program';
 import {toError} from '../../base/node/task';
@@ -63,7 +63,7 @@
   const calls = createCalls(addresses);
   const outcome = await calls.submitChange(call);
   calls.close();
-  if (outcome.isErr) fail(EXIT_UNAVAILABLE, [outcome.error]);
+  if (outcome.isErr) exit(EXIT_UNAVAILABLE, [outcome.error]);
   console.log(
     asJson ? JSON.stringify(outcome.value) : formatOutcome(outcome.value),
   );
@@ -98,7 +98,7 @@
     const text = readFileSync(args.file, 'utf8');
     const parsed = parseSettings({file: args.file, text});
     if (parsed.isErr) {
-      fail(EXIT_SETTINGS, parsed.error.map(formatSettingsError));
+      exit(EXIT_SETTINGS, parsed.error.map(formatSettingsError));
     }
     const baseVersion =
       args.baseVersion === CURRENT_VERSION
@@ -115,7 +115,7 @@
   const calls = createCalls(addresses);
   const status = await calls.fetchStatus();
   calls.close();
-  if (status.isErr) fail(EXIT_UNAVAILABLE, [status.error]);
+  if (status.isErr) exit(EXIT_UNAVAILABLE, [status.error]);
   return status.value.state?.settingsVersion ?? 0;
 }
 
@@ -163,7 +163,7 @@
     const calls = createCalls(args.control);
     const reply = await calls.fetchStatus();
     calls.close();
-    if (reply.isErr) fail(EXIT_UNAVAILABLE, [reply.error]);
+    if (reply.isErr) exit(EXIT_UNAVAILABLE, [reply.error]);
     console.log(
       args.json ? JSON.stringify(reply.value) : formatStatus(reply.value),
     );
@@ -182,7 +182,7 @@
     const calls = createCalls(args.control);
     const reply = await calls.fetchStatus();
     calls.close();
-    if (reply.isErr) fail(EXIT_UNAVAILABLE, [reply.error]);
+    if (reply.isErr) exit(EXIT_UNAVAILABLE, [reply.error]);
     const entries = (reply.value.state?.journal ?? []).filter(({subject}) => {
       return subject.includes(args.subject);
     });
@@ -228,7 +228,7 @@
     const response = await fetch(`http://${address}/histograms`);
     return (await response.json()) as EncodedHistogram[];
   } catch (thrown) {
-    fail(EXIT_UNAVAILABLE, [`${address}: ${toError(thrown).message}`]);
+    exit(EXIT_UNAVAILABLE, [`${address}: ${toError(thrown).message}`]);
   }
 }
 
--- a/src/load/node/load_client.ts
+++ b/src/load/node/load_client.ts
@@ -1,4 +1,4 @@
-import type {Result} from '../../base/common/outcome';
+import type {Result} from '../../base/common/result';
 import {
   TargetConnection,
   type AnswerListener,
--- a/src/load/node/main.ts
+++ b/src/load/node/main.ts
@@ -1,7 +1,12 @@
 import {writeFileSync} from 'node:fs';
 import {command, multioption, array, number, option, run, string} from 'cmd-ts';
 import {textOption} from '../../base/node/arguments';
-import {EXIT_USAGE, fail, stopSignal, VERSION} from '../../base/node/program';
+import {
+  EXIT_USAGE,
+  exit,
+  createStopSignal,
+  VERSION,
+} from '../../base/node/program';
 import {parseLoadClass, type LoadClass} from '../common/plan';
 import {runLoad} from './load_run';
 import {renderReport} from './report_page';
@@ -28,7 +33,7 @@
       seconds: args.seconds,
       seed: args.seed,
     },
-    stopSignal(),
+    createStopSignal(),
   );
   const text = JSON.stringify(report, null, 2);
   if (args.json === '') console.log(text);
@@ -42,7 +47,7 @@
   const loadClass = parseLoadClass(text);
   if (loadClass) return loadClass;
   const format = 'class:caller:read|write:rate:sessions';
-  return fail(EXIT_USAGE, [`--class ${text}: expected ${format}`]);
+  return exit(EXIT_USAGE, [`--class ${text}: expected ${format}`]);
 }
 
 const program = command({
--- a/src/proxy/node/batch_runner.ts
+++ b/src/proxy/node/batch_runner.ts
@@ -1,4 +1,4 @@
-import {pause, type Task} from '../../base/node/task';
+import {sleep, type Task} from '../../base/node/task';
 import {formatPosition} from '../../services/position/common/position';
 import {POSITION_VARIABLE} from '../../services/session/common/session_state';
 import {
@@ -84,7 +84,7 @@
         deadline,
       );
       if (!shouldRetry) return;
-      yield* pause(RETRY_DELAY_MS);
+      yield* sleep(RETRY_DELAY_MS);
     }
   }
 
--- a/src/proxy/node/caller_server.ts
+++ b/src/proxy/node/caller_server.ts
@@ -3,7 +3,7 @@
 import {callerName, serviceName} from '../../base/common/ids';
 import type {Log} from '../../base/node/log';
 import {startTask, type Task} from '../../base/node/task';
-import {after, childController, every} from '../../base/node/timers';
+import {after, createChildController, every} from '../../base/node/timers';
 import {Classifier} from '../../services/sql/common/classifier';
 import type {SqlGrammar} from '../../services/sql/common/syntax_tree';
 import {
@@ -69,7 +69,7 @@
     private readonly dependencies: CallerServerDependencies,
     signal: AbortSignal,
   ) {
-    this.controller = childController(signal);
+    this.controller = createChildController(signal);
     this.classifier = new Classifier(dependencies.grammar);
     this.server = createServer(socket => this.accept(socket));
   }
@@ -108,7 +108,7 @@
 
   private waitForSessions(maxWaitMs: number): Promise<void> {
     return new Promise(resolve => {
-      const checks = childController(this.controller.signal);
+      const checks = createChildController(this.controller.signal);
       const end = () => {
         checks.abort();
         resolve();
--- a/src/proxy/node/caller_session.ts
+++ b/src/proxy/node/caller_session.ts
@@ -284,7 +284,7 @@
       connection.closedSignal,
       this.idleTransactionMs(),
       () => {
-        if (router.queuedCount > 0) connection.notify('idle too long');
+        if (router.queuedCount > 0) connection.notify('idle timeout');
         else this.startIdleTimer();
       },
     );
--- a/src/proxy/node/checked_out_connection.ts
+++ b/src/proxy/node/checked_out_connection.ts
@@ -1,5 +1,5 @@
-import type {Result} from '../../base/common/outcome';
-import {Reply, type Task} from '../../base/node/task';
+import type {Result} from '../../base/common/result';
+import {PendingReply, type Task} from '../../base/node/task';
 import type {CommitOutcome} from '../../services/confirmation/common/pending_commits';
 import type {Position} from '../../services/position/common/position';
 import type {CheckoutRefusal} from '../common/checkout_refusal';
@@ -24,10 +24,10 @@
     deadline: number,
   ): Task<Result<CheckedOutConnection, CheckoutRefusal>> {
     const request = {...describeRequest(context, access), deadline};
-    const reply = new Reply<Result<Checkout, CheckoutRefusal>>();
+    const reply = new PendingReply<Result<Checkout, CheckoutRefusal>>();
     const isPosted = context.router.post({
       kind: 'request',
-      request: {...request, resolve: reply.give},
+      request: {...request, resolve: reply.resolve},
     });
     if (!isPosted) context.connection.destroy();
     const result = yield* reply.wait();
@@ -102,14 +102,14 @@
   position: Position,
   deadline: number,
 ): Task<CommitResult> {
-  const reply = new Reply<CommitResult>();
+  const reply = new PendingReply<CommitResult>();
   context.router.post({
     kind: 'acknowledge',
     commit: {
       position,
       deadline,
       resolve: (outcome, acknowledged) =>
-        reply.give({outcome, position: acknowledged}),
+        reply.resolve({outcome, position: acknowledged}),
     },
   });
   return yield* reply.wait();
--- a/src/proxy/node/checkout_request.ts
+++ b/src/proxy/node/checkout_request.ts
@@ -1,5 +1,5 @@
 import type {ClassName, InstanceId, ServiceName} from '../../base/common/ids';
-import type {Result} from '../../base/common/outcome';
+import type {Result} from '../../base/common/result';
 import type {QueuedRequest} from '../../services/admission/common/fair_queue';
 import type {CheckoutRefusal} from '../common/checkout_refusal';
 import type {TargetConnection} from '../../services/pool/node/target_connection';
--- a/src/proxy/node/control_link.ts
+++ b/src/proxy/node/control_link.ts
@@ -1,6 +1,6 @@
 import type {ClientDuplexStream} from '@grpc/grpc-js';
 import type {Clock} from '../../base/common/clock';
-import {LINK_CREDENTIALS, LINK_OPTIONS} from '../../base/node/grpc';
+import {CHANNEL_CREDENTIALS, CHANNEL_OPTIONS} from '../../base/node/grpc';
 import type {Log} from '../../base/node/log';
 import {after, every} from '../../base/node/timers';
 import {
@@ -109,7 +109,11 @@
   private clientOf(address: string): ControlClient {
     const existing = this.clients.get(address);
     if (existing) return existing;
-    const client = new ControlClient(address, LINK_CREDENTIALS, LINK_OPTIONS);
+    const client = new ControlClient(
+      address,
+      CHANNEL_CREDENTIALS,
+      CHANNEL_OPTIONS,
+    );
     this.clients.set(address, client);
     return client;
   }
--- a/src/proxy/node/exchange.ts
+++ b/src/proxy/node/exchange.ts
@@ -1,4 +1,4 @@
-import {Reply, type Task} from '../../base/node/task';
+import {PendingReply, type Task} from '../../base/node/task';
 import type {
   AnswerListener,
   TargetConnection,
@@ -32,9 +32,9 @@
 
 /** Receives the reply of a target. */
 export interface ReplySink {
-  /** False if the sender should wait for caughtUp(). */
+  /** False if the sender should wait for whenDrained(). */
   send(bytes: Buffer): boolean;
-  caughtUp(): Promise<void>;
+  whenDrained(): Promise<void>;
 }
 
 /** Which messages of a reply are relayed at once. */
@@ -65,7 +65,7 @@
 
 /** Sends one batch to a target and relays the reply to a sink. */
 export class Exchange implements AnswerListener {
-  private readonly ended = new Reply<ExchangeEnd>();
+  private readonly ended = new PendingReply<ExchangeEnd>();
   private relayedParses: boolean[] = [];
   private hiddenCloseCount = 0;
   private heldFrames: Buffer[] = [];
@@ -185,7 +185,7 @@
   ): void {
     this.connection.setListener(undefined);
     const {position, error, isRelayed, heldFrames} = this;
-    this.ended.give({
+    this.ended.resolve({
       status,
       position,
       held: heldFrames.length === 0 ? EMPTY : Buffer.concat(heldFrames),
@@ -211,7 +211,7 @@
     if (hasCapacity) return;
     // Backpressure: the reply to a slow caller must not fill the memory.
     this.connection.pause();
-    void this.sink.caughtUp().then(() => this.connection.resume());
+    void this.sink.whenDrained().then(() => this.connection.resume());
   }
 }
 
--- a/src/proxy/node/internal_query.ts
+++ b/src/proxy/node/internal_query.ts
@@ -58,7 +58,7 @@
     return true;
   }
 
-  caughtUp(): Promise<void> {
+  whenDrained(): Promise<void> {
     return Promise.resolve();
   }
 }
--- a/src/proxy/node/keyed_write.ts
+++ b/src/proxy/node/keyed_write.ts
@@ -1,5 +1,5 @@
 import type {RequestKey} from '../../base/common/ids';
-import {pause, type Task} from '../../base/node/task';
+import {sleep, type Task} from '../../base/node/task';
 import {after} from '../../base/node/timers';
 import {formatPosition} from '../../services/position/common/position';
 import {POSITION_VARIABLE} from '../../services/session/common/session_state';
@@ -73,7 +73,7 @@
       const result = yield* this.attemptOnce(checkout.value, deadline);
       if (result.kind === 'failed') return this.sendError(result.diagnostic);
       if (result.kind === 'committed') return this.sendReply(result.bytes);
-      yield* pause(RETRY_DELAY_MS);
+      yield* sleep(RETRY_DELAY_MS);
     }
     this.sendError(unknownOutcomeError());
   }
@@ -245,7 +245,7 @@
     return true;
   }
 
-  caughtUp(): Promise<void> {
+  whenDrained(): Promise<void> {
     return Promise.resolve();
   }
 }
--- a/src/proxy/node/main.ts
+++ b/src/proxy/node/main.ts
@@ -10,12 +10,12 @@
   EXIT_SETTINGS,
   EXIT_UNAVAILABLE,
   EXIT_USAGE,
-  fail,
-  stopSignal,
+  exit,
+  createStopSignal,
   VERSION,
 } from '../../base/node/program';
 import {toError} from '../../base/node/task';
-import {ownController} from '../../base/node/timers';
+import {createAbortController} from '../../base/node/timers';
 import {PostgresGrammar} from '../../services/sql/node/postgres_grammar';
 import {
   formatSettingsError,
@@ -52,8 +52,8 @@
   let settings = loadSettingsOrExit(args);
   let settingsVersion = 0;
   const {system} = settings;
-  const stopRequested = stopSignal();
-  const running = ownController();
+  const stopRequested = createStopSignal();
+  const running = createAbortController();
   const {signal} = running;
   const clock = new MonotonicClock();
   const meter = new RequestMeter();
@@ -63,7 +63,7 @@
   const announcements = createServer();
   announcements.addService(AnnouncementService, services.observer.handlers);
   const listening = await listen(announcements, args.announcements, signal);
-  if (listening.isErr) fail(EXIT_UNAVAILABLE, [listening.error.message]);
+  if (listening.isErr) exit(EXIT_UNAVAILABLE, [listening.error.message]);
   services.observer.start(system.pingMs, signal);
 
   const onSettings = (version: number, text: string) => {
@@ -124,7 +124,7 @@
     await endpoint.listen(statusAddress.port, statusAddress.host, signal);
     await callers.listen(callersAddress.port, callersAddress.host);
   } catch (thrown) {
-    fail(EXIT_UNAVAILABLE, [`proxy: ${toError(thrown).message}`]);
+    exit(EXIT_UNAVAILABLE, [`proxy: ${toError(thrown).message}`]);
   }
   log.info('Ready.', {instance: args.instance, address: args.listen});
   stopRequested.addEventListener('abort', () => {
@@ -139,14 +139,14 @@
 function loadSettingsOrExit(args: Arguments): Settings {
   const settings = loadSettings(args.settings, args.overlay);
   if (settings.isErr) {
-    fail(EXIT_SETTINGS, settings.error.map(formatSettingsError));
+    exit(EXIT_SETTINGS, settings.error.map(formatSettingsError));
   }
   return settings.value;
 }
 
 function parseAddressOrExit(name: string, text: string): Address {
   const address = parseAddress(text);
-  if (!address) fail(EXIT_USAGE, [`${name} ${text}: host:port is allowed`]);
+  if (!address) exit(EXIT_USAGE, [`${name} ${text}: expected host:port`]);
   return address;
 }
 
--- a/src/proxy/node/proxy_services.ts
+++ b/src/proxy/node/proxy_services.ts
@@ -4,7 +4,7 @@
   type ServiceName,
   type SiteId,
 } from '../../base/common/ids';
-import {childController} from '../../base/node/timers';
+import {createChildController} from '../../base/node/timers';
 import {
   TargetDirectory,
   type PositionSample,
@@ -131,10 +131,10 @@
   }
 
   /** Only control sends orders to targets. */
-  onDidAnswerOrder(): void {}
+  onDidReplyToOrder(): void {}
 
   private startService(service: ServiceName): void {
-    const controller = childController(this.signal);
+    const controller = createChildController(this.signal);
     const router = new ServiceRouter(
       {
         service,
--- a/src/proxy/node/service_router.ts
+++ b/src/proxy/node/service_router.ts
@@ -5,7 +5,7 @@
   type ServiceName,
   type SiteId,
 } from '../../base/common/ids';
-import {err, ok} from '../../base/common/outcome';
+import {err, ok} from '../../base/common/result';
 import {Mailbox, startTask, type Task} from '../../base/node/task';
 import {after, every} from '../../base/node/timers';
 import {FairQueue} from '../../services/admission/common/fair_queue';
@@ -422,14 +422,14 @@
   }
 
   private onSample(key: TargetKey, sample: PositionSample, now: number): void {
-    const {status, askedAt} = sample;
+    const {status, requestedAt} = sample;
     if (status.matchedTerm > 0) {
-      this.initialPositions.onMember(key.instance, askedAt, status);
+      this.initialPositions.onMember(key.instance, requestedAt, status);
     }
-    if (this.isLeasedPrimary(key, status, askedAt)) {
-      this.initialPositions.onPrimary(askedAt, status);
-      this.positionPoll.onReply(askedAt);
-      this.history.onSample(askedAt, status.appliedOffset);
+    if (this.isLeasedPrimary(key, status, requestedAt)) {
+      this.initialPositions.onPrimary(requestedAt, status);
+      this.positionPoll.onReply(requestedAt);
+      this.history.onSample(requestedAt, status.appliedOffset);
     } else {
       const age = this.history.ageOf(status.appliedOffset, now);
       this.targets.onAge(key.instance, age);
--- a/src/proxy/node/service_targets.ts
+++ b/src/proxy/node/service_targets.ts
@@ -6,7 +6,7 @@
   type ServiceName,
   type SiteId,
 } from '../../base/common/ids';
-import {childController} from '../../base/node/timers';
+import {createChildController} from '../../base/node/timers';
 import {
   isConnected,
   silenceMsOf,
@@ -84,7 +84,7 @@
       current.pool.login.address === address;
     if (isSameProcess) return;
     current?.controller.abort();
-    const controller = childController(this.signal);
+    const controller = createChildController(this.signal);
     const {service, clock} = this.dependencies;
     const pool = new TargetPool(
       {address, user: 'bulrushstage', database: service},
--- a/src/services/account/common/counter_choice.ts
+++ b/src/services/account/common/counter_choice.ts
@@ -1,4 +1,4 @@
-import {hashOf} from '../../../base/common/hash';
+import {hashText} from '../../../base/common/hash';
 import type {CounterEntry} from '../../../schema/generated/fleet';
 
 /** The site of a proxy, by which it finds the counters of its region. */
@@ -32,7 +32,7 @@
   const ranked = counters.map(entry => ({
     entry,
     group: groupOf(entry, ownRegion, regionOf),
-    hash: hashOf(`${account} ${entry.instance}`),
+    hash: hashText(`${account} ${entry.instance}`),
   }));
   ranked.sort((a, b) => a.group - b.group || a.hash - b.hash);
   return ranked.map(({entry}) => entry);
--- a/src/services/account/common/counter_plan.ts
+++ b/src/services/account/common/counter_plan.ts
@@ -1,4 +1,4 @@
-import {hashOf} from '../../../base/common/hash';
+import {hashText} from '../../../base/common/hash';
 import type {CounterEntry} from '../../../schema/generated/fleet';
 
 /** A proxy that can count operations of accounts. */
@@ -162,7 +162,7 @@
       })
       .map(candidate => {
         const inSite = active.filter(({site}) => site === candidate.site);
-        const hash = hashOf(candidate.instance);
+        const hash = hashText(candidate.instance);
         return {candidate, counterCount: inSite.length, hash};
       });
     ranked.sort((a, b) => a.counterCount - b.counterCount || a.hash - b.hash);
--- a/src/services/account/node/account_limits.ts
+++ b/src/services/account/node/account_limits.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '../../../base/common/clock';
-import {err, ok, type Result} from '../../../base/common/outcome';
-import {pause, settled, type Task} from '../../../base/node/task';
+import {err, ok, type Result} from '../../../base/common/result';
+import {sleep, settled, type Task} from '../../../base/node/task';
 import type {AccountEntry, CounterEntry} from '../../../schema/generated/fleet';
 import type {
   GrantedPermits,
@@ -99,7 +99,7 @@
     const {waitMs, validMs} = decision;
     if (waitMs <= 0) return ok(undefined);
     const isInTime = now + waitMs <= deadline;
-    if (isInTime) yield* pause(waitMs);
+    if (isInTime) yield* sleep(waitMs);
     const isValid = this.clock.now() <= requestedAt + validMs + waitMs;
     if (isInTime && isValid) return ok(undefined);
     this.refund(account);
@@ -122,10 +122,10 @@
       const counter = counters.choose(account, {excluded, canWaitForLink});
       if (counter === undefined) {
         if (refusals.refusalAt(requestedAt)) break;
-        yield* pause(excluded.size > 0 ? ROUND_INTERVAL_MS : POLL_INTERVAL_MS);
+        yield* sleep(excluded.size > 0 ? ROUND_INTERVAL_MS : POLL_INTERVAL_MS);
         excluded.clear();
       } else if (counter === 'connecting') {
-        yield* pause(POLL_INTERVAL_MS);
+        yield* sleep(POLL_INTERVAL_MS);
       } else {
         excluded.add(counter.instance);
         const decision = yield* this.requestFrom(counter, account, wanted);
--- a/src/services/account/node/counter_link.ts
+++ b/src/services/account/node/counter_link.ts
@@ -1,6 +1,6 @@
 import type {Log} from '../../../base/node/log';
 import {openLink, type MessageLink} from '../../../base/node/message_link';
-import {after, childController} from '../../../base/node/timers';
+import {after, createChildController} from '../../../base/node/timers';
 import type {
   CounterRequest,
   CounterResponse,
@@ -34,7 +34,7 @@
     signal: AbortSignal,
     private readonly onDidClose: () => void,
   ) {
-    this.ended = childController(signal);
+    this.ended = createChildController(signal);
     this.link = openLink(address, COUNTER_PROTOCOL, this.ended.signal);
     this.ended.signal.addEventListener('abort', () => this.settleAll());
     this.link.start({
--- a/src/services/account/node/counter_protocol.ts
+++ b/src/services/account/node/counter_protocol.ts
@@ -11,5 +11,5 @@
   responses: CounterResponse,
   // Only closes links to vanished counters; proxies exclude an unresponsive one
   // long before.
-  silenceMs: 2_000,
+  maxSilenceMs: 2_000,
 };
--- a/src/services/account/node/operation_limits.ts
+++ b/src/services/account/node/operation_limits.ts
@@ -1,4 +1,4 @@
-import type {Result} from '../../../base/common/outcome';
+import type {Result} from '../../../base/common/result';
 import type {Task} from '../../../base/node/task';
 
 /** Why an operation of an account may not run now. */
--- a/src/services/account/test/node/counter_links.test.ts
+++ b/src/services/account/test/node/counter_links.test.ts
@@ -1,5 +1,5 @@
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
-import type {Result} from '../../../../base/common/outcome';
+import type {Result} from '../../../../base/common/result';
 import type {
   LinkProtocol,
   MessageLink,
@@ -7,7 +7,7 @@
 import {MessageServer} from '../../../../base/node/message_server';
 import {MonotonicClock} from '../../../../base/node/monotonic_clock';
 import {startTask} from '../../../../base/node/task';
-import {ownController} from '../../../../base/node/timers';
+import {createAbortController} from '../../../../base/node/timers';
 import {makeLog} from '../../../gateway/test/node/session_fixture';
 import {HeldPermits} from '../../common/held_permits';
 import {AccountLimits} from '../../node/account_limits';
@@ -54,7 +54,7 @@
 
 /** The counter process of another proxy. */
 class CounterProcess {
-  readonly stop = ownController();
+  readonly stop = createAbortController();
   readonly counter = new FakeCounter();
   readonly server = new HangingServer(makeLog().log);
   address = '';
@@ -87,7 +87,7 @@
 let directory: CounterDirectory;
 
 beforeEach(async () => {
-  stop = ownController();
+  stop = createAbortController();
   regional = [
     new CounterProcess('n1', 'north'),
     new CounterProcess('n2', 'north'),
--- a/src/services/admission/common/class_admission.ts
+++ b/src/services/admission/common/class_admission.ts
@@ -56,7 +56,7 @@
   }
 
   /** Takes one retry of a service's budget; false if it is exhausted. */
-  canRetry(service: string): boolean {
+  tryTakeRetry(service: string): boolean {
     return this.retryBudgetOf(service)?.tryAcquire(this.clock.now()) ?? true;
   }
 
--- a/src/services/admission/test/common/prioritized_services.test.ts
+++ b/src/services/admission/test/common/prioritized_services.test.ts
@@ -48,7 +48,7 @@
 
   it('does not limit retries', () => {
     for (let count = 0; count < 500; count++) {
-      expect(classes.canRetry('books')).toBe(true);
+      expect(classes.tryTakeRetry('books')).toBe(true);
     }
   });
 });
--- a/src/services/announcement/common/target_directory.ts
+++ b/src/services/announcement/common/target_directory.ts
@@ -14,7 +14,7 @@
 /** A status that a target had at or after a moment. */
 export interface PositionSample {
   /** When the ping was sent, on the observer's clock. */
-  readonly askedAt: number;
+  readonly requestedAt: number;
   readonly status: TargetStatus;
 }
 
@@ -84,12 +84,12 @@
     now: number,
   ): PositionSample | undefined {
     const target = this.find(key);
-    const askedAt = target?.pings.get(sequence);
-    if (!target || askedAt === undefined) return undefined;
+    const requestedAt = target?.pings.get(sequence);
+    if (!target || requestedAt === undefined) return undefined;
     target.pings.delete(sequence);
     target.lastHeardAt = now;
-    target.roundTripMs = now - askedAt;
-    return {askedAt, status: target.status};
+    target.roundTripMs = now - requestedAt;
+    return {requestedAt, status: target.status};
   }
 
   onClosed(key: TargetKey, now: number): void {
--- a/src/services/announcement/node/announcement_observer.ts
+++ b/src/services/announcement/node/announcement_observer.ts
@@ -23,7 +23,7 @@
 export interface TargetListener {
   onDidChangeTarget(key: TargetKey, status: TargetStatus | undefined): void;
   onDidSample(key: TargetKey, sample: PositionSample): void;
-  onDidAnswerOrder(key: TargetKey, result: OrderResult): void;
+  onDidReplyToOrder(key: TargetKey, result: OrderResult): void;
 }
 
 interface OpenStream {
@@ -120,7 +120,7 @@
       this.directory.onStatus(key, result.status, this.clock.now());
       this.listener.onDidChangeTarget(key, result.status);
     }
-    this.listener.onDidAnswerOrder(key, result);
+    this.listener.onDidReplyToOrder(key, result);
   }
 
   private onClosed(stream: Stream, key: TargetKey | undefined): void {
--- a/src/services/announcement/node/announcer.ts
+++ b/src/services/announcement/node/announcer.ts
@@ -1,5 +1,5 @@
 import type {ClientDuplexStream} from '@grpc/grpc-js';
-import {LINK_CREDENTIALS, LINK_OPTIONS} from '../../../base/node/grpc';
+import {CHANNEL_CREDENTIALS, CHANNEL_OPTIONS} from '../../../base/node/grpc';
 import {after, every} from '../../../base/node/timers';
 import type {
   ObserverMessage,
@@ -36,8 +36,8 @@
   ) {
     this.client = new AnnouncementClient(
       address,
-      LINK_CREDENTIALS,
-      LINK_OPTIONS,
+      CHANNEL_CREDENTIALS,
+      CHANNEL_OPTIONS,
     );
     signal.addEventListener('abort', () => this.client.close(), {once: true});
     every(signal, PING_TIMEOUT_MS, () => this.cancelIfSilent());
--- a/src/services/connection_quota/common/allocated_services.ts
+++ b/src/services/connection_quota/common/allocated_services.ts
@@ -8,7 +8,7 @@
 /** A service whose members' connections are granted by control. */
 export interface AllocatedService {
   /** Connections to one member that all instances together may have. */
-  readonly shared: number;
+  readonly usableConnections: number;
   readonly members: readonly string[];
   readonly poolers: ReadonlySet<string>;
 }
@@ -36,7 +36,7 @@
     const own = poolers.filter(other => other.service === service);
     if (own.length === 0 || !isAllocated(service, inputs)) continue;
     services.set(service, {
-      shared: usableConnections(connections),
+      usableConnections: usableConnections(connections),
       members: members
         .filter(other => other.service === service)
         .map(({instance}) => instance),
--- a/src/services/connection_quota/common/connection_allocator.ts
+++ b/src/services/connection_quota/common/connection_allocator.ts
@@ -235,7 +235,7 @@
 function updateMembers({service, members}: ServiceConnections): void {
   for (const instance of service.members) {
     const member = members.get(instance) ?? new MemberConnections();
-    member.configure(service.shared, service.poolers);
+    member.configure(service.usableConnections, service.poolers);
     members.set(instance, member);
   }
   for (const instance of members.keys()) {
--- a/src/services/connection_quota/test/common/allocation_fixture.ts
+++ b/src/services/connection_quota/test/common/allocation_fixture.ts
@@ -106,7 +106,7 @@
 
   publishServices(): void {
     const service: AllocatedService = {
-      shared: this.maxOpen,
+      usableConnections: this.maxOpen,
       members: [MEMBER],
       poolers: new Set(this.listed),
     };
--- a/src/services/consensus/node/consensus_node.ts
+++ b/src/services/consensus/node/consensus_node.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '../../../base/common/clock';
-import {err, ok, type Result} from '../../../base/common/outcome';
+import {err, ok, type Result} from '../../../base/common/result';
 import {Mailbox, settled, startTask, type Task} from '../../../base/node/task';
 import {every} from '../../../base/node/timers';
 import type {
--- a/src/services/consensus/node/log_storage.ts
+++ b/src/services/consensus/node/log_storage.ts
@@ -1,6 +1,6 @@
 import {open, mkdir, readFile, rename, type FileHandle} from 'node:fs/promises';
 import {join} from 'node:path';
-import {err, ok, type Result} from '../../../base/common/outcome';
+import {err, ok, type Result} from '../../../base/common/result';
 import {toError} from '../../../base/node/task';
 import {
   LogRecord,
--- a/src/services/consensus/node/peer_addresses.ts
+++ b/src/services/consensus/node/peer_addresses.ts
@@ -8,7 +8,7 @@
   private readonly learned = new Map<string, string>();
 
   /** Records the address of the sender of a message. */
-  learn({from, fromAddress}: ConsensusMessage): void {
+  add({from, fromAddress}: ConsensusMessage): void {
     if (fromAddress !== '') this.learned.set(from, fromAddress);
   }
 
--- a/src/services/consensus/node/peer_links.ts
+++ b/src/services/consensus/node/peer_links.ts
@@ -23,14 +23,14 @@
   requests: PeerRequest,
   responses: PeerResponse,
   // Longer than an election takes.
-  silenceMs: 1_500,
+  maxSilenceMs: 1_500,
 };
 
 /**
  * Messages beyond this are dropped; the consensus core repeats requests without
  * a reply.
  */
-const MAX_WAITING_BYTES = 1024 * 1024;
+const MAX_QUEUED_BYTES = 1024 * 1024;
 
 type Link = MessageLink<PeerRequest, PeerResponse>;
 
@@ -63,7 +63,7 @@
           if (body?.$case === 'join') {
             link.write({join: listener.onDidRequestJoin(body.value)});
           } else if (body?.$case === 'consensus') {
-            this.addresses.learn(body.value);
+            this.addresses.add(body.value);
             listener.onDidReceive(body.value);
           }
         },
@@ -76,7 +76,7 @@
     const address = this.addresses.of(message.to, configuration);
     if (address === undefined) return;
     const link = this.linkTo(address);
-    if (link.waitingBytes > MAX_WAITING_BYTES) return;
+    if (link.queuedBytes > MAX_QUEUED_BYTES) return;
     const value = {...message, fromAddress: this.ownAddress};
     link.write({body: {$case: 'consensus', value}});
   }
--- a/src/services/dispatch/common/checkout_queue.ts
+++ b/src/services/dispatch/common/checkout_queue.ts
@@ -1,5 +1,5 @@
 import {callerName} from '../../../base/common/ids';
-import {err, ok} from '../../../base/common/outcome';
+import {err, ok} from '../../../base/common/result';
 import {FairQueue} from '../../admission/common/fair_queue';
 import {RetryPacer} from '../../admission/common/retry_pacer';
 import {DrainRate} from './drain_rate';
@@ -53,7 +53,7 @@
       this.checkOutage(request, now) ??
       this.checkExpectedWait(request, now) ??
       this.checkCapacity(request, now);
-    if (refusal) return request.settle(err(refusal));
+    if (refusal) return request.resolve(err(refusal));
     const {kind} = request.requirement;
     this.queue.add(request);
     this.counts[kind]++;
@@ -72,7 +72,7 @@
       const {kind} = request.requirement;
       const leftCount = --this.counts[kind];
       this.rates[kind].onServed(now, leftCount > 0);
-      request.settle(ok(checkout));
+      request.resolve(ok(checkout));
       return 'taken';
     });
   }
@@ -81,7 +81,7 @@
   cancel(request: CheckoutRequest<G>): void {
     if (!this.remove(request)) return;
     const detail = 'left the queue';
-    request.settle(err({reason: 'abandoned', retryAfterMs: 0, detail}));
+    request.resolve(err({reason: 'abandoned', retryAfterMs: 0, detail}));
   }
 
   /** Refuses the requests that can no longer be served in time. */
@@ -98,7 +98,7 @@
     }
     for (const [request, refusal] of refused) {
       this.remove(request);
-      request.settle(err(refusal));
+      request.resolve(err(refusal));
     }
   }
 
@@ -189,7 +189,7 @@
     const aheadCount = this.counts[kind];
     const expectedWaitMs = this.rates[kind].expectedWaitMs(aheadCount, now);
     const maxWaitMs = last.requestedAt + last.waitBudgetMs - now;
-    last.settle(
+    last.resolve(
       err(
         this.makeOverloadedRefusal(
           {kind, aheadCount, expectedWaitMs, maxWaitMs},
--- a/src/services/dispatch/common/checkout_request.ts
+++ b/src/services/dispatch/common/checkout_request.ts
@@ -1,5 +1,5 @@
 import type {CallerName, MemberUser} from '../../../base/common/ids';
-import type {Result} from '../../../base/common/outcome';
+import type {Result} from '../../../base/common/result';
 import type {QueuedRequest} from '../../admission/common/fair_queue';
 import type {Position} from '../../position/common/position';
 
@@ -36,7 +36,7 @@
   readonly requestedAt: number;
   /** How long it may be queued. */
   readonly waitBudgetMs: number;
-  settle(outcome: Result<G, CheckoutRefusal>): void;
+  resolve(outcome: Result<G, CheckoutRefusal>): void;
 }
 
 /** Why a request got no connection; nothing has run. */
--- a/src/services/dispatch/node/dispatcher_messages.ts
+++ b/src/services/dispatch/node/dispatcher_messages.ts
@@ -34,15 +34,15 @@
 /** What a reply, or its absence, showed about a member. */
 export interface MemberObservation {
   readonly instance: string;
-  readonly askedAt: number;
-  readonly answeredAt: number;
+  readonly requestedAt: number;
+  readonly receivedAt: number;
   readonly position: Position | undefined;
   /** The epoch of the member's assignment when the request was sent. */
   readonly epoch: number;
   readonly kind:
     | 'answered'
-    /** It replied after `askedAt` that it is primary. */
-    | 'leads'
+    /** It replied after `requestedAt` that it is primary. */
+    | 'primary'
     | 'not primary'
     /** It had no capacity for the statement. */
     | 'busy'
@@ -54,29 +54,29 @@
   readonly epoch: number;
   readonly term: number;
   readonly timeoutMs: number;
-  settle(isVerified: boolean): void;
+  resolve(isVerified: boolean): void;
 }
 
 /** The messages to a dispatcher. */
 export type DispatcherMessage =
   | {readonly kind: 'request'; readonly request: CheckoutRequest<Checkout>}
   /** The caller abandoned the request. */
-  | {readonly kind: 'withdraw'; readonly request: CheckoutRequest<Checkout>}
-  | {readonly kind: 'return'; readonly returned: ReleasedConnection}
+  | {readonly kind: 'cancel'; readonly request: CheckoutRequest<Checkout>}
+  | {readonly kind: 'release'; readonly released: ReleasedConnection}
   | {readonly kind: 'observed'; readonly observation: MemberObservation}
   | {
       readonly kind: 'members';
       readonly members: readonly Member[];
-      readonly sharers: ConnectionPeers;
+      readonly peers: ConnectionPeers;
     }
   | {
       readonly kind: 'definition';
       readonly definition: ServiceEntry;
       /** Whether its requests are admitted by priority class. */
-      readonly isByClass: boolean;
+      readonly usesClasses: boolean;
     }
-  | {readonly kind: 'primary'; readonly lead: PrimaryAssignment}
-  | {readonly kind: 'verify'; readonly wish: VerificationRequest}
+  | {readonly kind: 'primary'; readonly assignment: PrimaryAssignment}
+  | {readonly kind: 'verify'; readonly request: VerificationRequest}
   | {readonly kind: 'changed'}
   | {readonly kind: 'tick'};
 
--- a/src/services/dispatch/node/primary_probe.ts
+++ b/src/services/dispatch/node/primary_probe.ts
@@ -34,7 +34,7 @@
   start(pooled: PooledConnection, epoch: number): void {
     const {instance} = pooled;
     this.running.add(instance);
-    const askedAt = this.clock.now();
+    const requestedAt = this.clock.now();
     const [beginReply, rollbackReply] = pooled.link.send([
       {requestId: undefined, statement: {kind: 'begin', readOnly: false}},
       {requestId: undefined, statement: {kind: 'rollback'}},
@@ -47,8 +47,8 @@
         const observation = {
           instance,
           epoch,
-          askedAt,
-          answeredAt: this.clock.now(),
+          requestedAt,
+          receivedAt: this.clock.now(),
           position: begin.kind === 'answer' ? begin.position : undefined,
           kind: classifyReply(begin),
         };
@@ -61,6 +61,6 @@
 
 function classifyReply(reply: TargetReply): MemberObservation['kind'] {
   if (reply.kind !== 'answer') return 'silent';
-  if (reply.result.kind === 'done') return 'leads';
+  if (reply.result.kind === 'done') return 'primary';
   return reply.result.failure === 'not primary' ? 'not primary' : 'answered';
 }
--- a/src/services/dispatch/node/primary_verifier.ts
+++ b/src/services/dispatch/node/primary_verifier.ts
@@ -13,7 +13,7 @@
   /** The term of the member's log in the reply to be verified. */
   readonly term: number;
   readonly deadline: number;
-  settle(isVerified: boolean): void;
+  resolve(isVerified: boolean): void;
 }
 
 /** The connections that verification rounds use. */
@@ -90,7 +90,7 @@
     this.pendingRequests = this.pendingRequests.filter(
       request => !expired.includes(request),
     );
-    for (const request of expired) request.settle(false);
+    for (const request of expired) request.resolve(false);
     if (!isRequired && this.pendingRequests.length === 0) return;
     if (this.isRunning || now - this.startedAt < ROUND_INTERVAL_MS) return;
     this.startRound(primary, now);
@@ -98,7 +98,7 @@
 
   /** Fails all pending requests. */
   cancelAll(): void {
-    for (const request of this.pendingRequests.splice(0)) request.settle(false);
+    for (const entry of this.pendingRequests.splice(0)) entry.resolve(false);
   }
 
   private startRound(
@@ -142,7 +142,7 @@
     this.pendingRequests = this.pendingRequests.filter(
       request => !verified.includes(request),
     );
-    for (const request of verified) request.settle(true);
+    for (const request of verified) request.resolve(true);
   }
 
   private async requestStatus(
--- a/src/services/dispatch/node/service_dispatcher.ts
+++ b/src/services/dispatch/node/service_dispatcher.ts
@@ -83,9 +83,9 @@
     this.demand = new MemberDemand(dependencies, this.limits);
     this.probe = new PrimaryProbe(
       dependencies.clock,
-      (observation, returned) => {
+      (observation, released) => {
         this.mailbox.post({kind: 'observed', observation});
-        this.mailbox.post({kind: 'return', returned});
+        this.mailbox.post({kind: 'release', released});
       },
     );
     this.verifier = new PrimaryVerifier(
@@ -95,7 +95,7 @@
         instances: () => [...this.pools.keys()],
         checkOut: instance => this.checkOutAny(instance),
         release: (pooled, isClean) => {
-          this.mailbox.post({kind: 'return', returned: {pooled, isClean}});
+          this.mailbox.post({kind: 'release', released: {pooled, isClean}});
         },
       },
       dependencies.clock,
@@ -106,7 +106,7 @@
 
   start(signal: AbortSignal): Promise<void> {
     this.signal = signal;
-    const periods = {busyMs: TICK_MS, restMs: QUIESCENT_TICK_MS};
+    const periods = {busyMs: TICK_MS, idleMs: QUIESCENT_TICK_MS};
     this.wakeTick = everyWhileBusy(signal, periods, () => {
       this.mailbox.post({kind: 'tick'});
       return !this.isQuiescent;
@@ -142,23 +142,23 @@
     switch (message.kind) {
       case 'request':
         return this.onRequest(message.request);
-      case 'withdraw':
+      case 'cancel':
         return this.queue.cancel(message.request);
-      case 'return':
-        return this.onReleased(message.returned);
+      case 'release':
+        return this.onReleased(message.released);
       case 'observed':
         return this.onObserved(message.observation);
       case 'members':
-        return this.onMembers(message.members, message.sharers);
+        return this.onMembers(message.members, message.peers);
       case 'definition':
         this.limits.setDefinition(message.definition);
-        this.usesClasses = message.isByClass;
-        this.queue.setUsesClasses(message.isByClass);
+        this.usesClasses = message.usesClasses;
+        this.queue.setUsesClasses(message.usesClasses);
         return;
       case 'primary':
-        return this.onAssignment(message.lead);
+        return this.onAssignment(message.assignment);
       case 'verify':
-        return this.verify(message.wish);
+        return this.verify(message.request);
       case 'changed':
         this.isChangePosted = false;
         return this.dispatch();
@@ -296,7 +296,7 @@
   // ---- Members ----
 
   private onObserved(observation: MemberObservation): void {
-    const {instance, askedAt, answeredAt, position, kind} = observation;
+    const {instance, requestedAt, receivedAt, position, kind} = observation;
     const pool = this.pools.get(instance);
     if (!pool) return;
     if (kind === 'silent') {
@@ -304,9 +304,9 @@
       return this.assessPrimary();
     }
     if (kind === 'busy') pool.onBusy();
-    else pool.onAnswer(answeredAt - askedAt);
-    if (position) pool.onLag(this.samples.minLagMs(position, askedAt));
-    if (kind === 'leads' && position) this.onPrimary(observation, position);
+    else pool.onAnswer(receivedAt - requestedAt);
+    if (position) pool.onLag(this.samples.minLagMs(position, requestedAt));
+    if (kind === 'primary' && position) this.onPrimary(observation, position);
     if (kind === 'not primary' && this.primary.markDemoted(instance)) {
       const {service, log} = this.dependencies;
       log.info('A member reports that it is not primary.', {service, instance});
@@ -320,20 +320,20 @@
    * primary may not know yet, and lacks the newest commits.
    */
   private onPrimary(
-    {instance, askedAt, epoch}: MemberObservation,
+    {instance, requestedAt, epoch}: MemberObservation,
     position: Position,
   ): void {
     const {leases, service} = this.dependencies;
     if (!this.isPrimary(instance) || !leases.isHeld(service, epoch)) return;
-    this.samples.add(askedAt, position);
+    this.samples.add(requestedAt, position);
     this.markPromoted('its own reply');
   }
 
   // ---- Verification without control ----
 
-  private verify({epoch, term, timeoutMs, settle}: VerificationRequest): void {
+  private verify({epoch, term, timeoutMs, resolve}: VerificationRequest): void {
     const deadline = this.now() + timeoutMs;
-    this.verifier.add({epoch, term, deadline, settle});
+    this.verifier.add({epoch, term, deadline, resolve});
     this.updateVerifier();
   }
 
--- a/src/services/dispatch/test/common/checkout_queue.test.ts
+++ b/src/services/dispatch/test/common/checkout_queue.test.ts
@@ -1,7 +1,7 @@
 import {SHARED_USER} from '../../../target_link/common/target_link';
 import {describe, expect, it} from 'vitest';
 import {callerName} from '../../../../base/common/ids';
-import type {Result} from '../../../../base/common/outcome';
+import type {Result} from '../../../../base/common/result';
 import type {
   CheckoutRefusal,
   CheckoutRequest,
@@ -63,7 +63,7 @@
       user: SHARED_USER,
       values: new Map(),
       triedInstances: new Set(),
-      settle: outcome => this.onResolved(requestedAt, waitedBeforeMs, outcome),
+      resolve: outcome => this.onResolved(requestedAt, waitedBeforeMs, outcome),
     };
     this.queue.add(request, this.now);
   }
--- a/src/services/dispatch/test/common/waiting_by_class.test.ts
+++ b/src/services/dispatch/test/common/checkout_queue_classes.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {callerName} from '../../../../base/common/ids';
-import type {Result} from '../../../../base/common/outcome';
+import type {Result} from '../../../../base/common/result';
 import {SHARED_USER} from '../../../target_link/common/target_link';
 import type {
   CheckoutRefusal,
@@ -92,7 +92,7 @@
       user: SHARED_USER,
       values: new Map(),
       triedInstances: new Set(),
-      settle: outcome => this.onResolved(requestClass, requestedAt, outcome),
+      resolve: outcome => this.onResolved(requestClass, requestedAt, outcome),
     };
     this.queue.add(request, this.now);
     return request;
--- a/src/services/dispatch/test/node/primary_verifier.test.ts
+++ b/src/services/dispatch/test/node/primary_verifier.test.ts
@@ -52,8 +52,9 @@
 });
 
 function request(name: string, term = 1): void {
-  const settle = (isVerified: boolean) => results.push(`${name} ${isVerified}`);
-  verifier.add({epoch: 7, term, deadline: clock.now() + 500, settle});
+  const resolve = (isVerified: boolean) =>
+    results.push(`${name} ${isVerified}`);
+  verifier.add({epoch: 7, term, deadline: clock.now() + 500, resolve});
 }
 
 const roundEnds = () => new Promise(resolve => setTimeout(resolve, 5));
--- a/src/services/dispatch/test/node/service_dispatcher.test.ts
+++ b/src/services/dispatch/test/node/service_dispatcher.test.ts
@@ -1,7 +1,7 @@
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 import {callerName} from '../../../../base/common/ids';
 import {ManualClock} from '../../../../base/common/clock';
-import {ownController} from '../../../../base/node/timers';
+import {createAbortController} from '../../../../base/node/timers';
 import {FakeGroup} from '../../../gateway/test/node/fake_group';
 import {makeLog, membersOf} from '../../../gateway/test/node/session_fixture';
 import {makeAssignment} from '../../../lease/test/common/lease_fixture';
@@ -30,7 +30,7 @@
 beforeEach(async () => {
   vi.useFakeTimers({toFake: ['setTimeout', 'clearTimeout', 'performance']});
   clock = new ManualClock();
-  stop = ownController();
+  stop = createAbortController();
   const group = new FakeGroup(['a', 'b', 'c']);
   dispatcher = new ServiceDispatcher({
     service: 'books',
@@ -51,8 +51,8 @@
     sameRegionCount: 0,
     isPooledElsewhere: false,
   };
-  dispatcher.post({kind: 'members', members: membersOf(group), sharers: peers});
-  dispatcher.post({kind: 'primary', lead: makeAssignment('a', 1)});
+  dispatcher.post({kind: 'members', members: membersOf(group), peers});
+  dispatcher.post({kind: 'primary', assignment: makeAssignment('a', 1)});
   checks = vi.spyOn(MemberPool.prototype, 'closeIdle');
 });
 
@@ -78,7 +78,7 @@
     requirement: {kind: 'primary'} as const,
     values: new Map<string, string>(),
     triedInstances: new Set<string>(),
-    settle: () => {},
+    resolve: () => {},
   };
   dispatcher.post({kind: 'request', request});
 }
--- a/src/services/failover/test/common/failover_promise.test.ts
+++ b/src/services/failover/test/common/failover_simulation.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {Phase} from '../../../../schema/generated/control';
-import {runFaults, recover} from './schedule';
+import {runFaults, recover} from './simulation_runs';
 
 const SEED_COUNT = 120;
 
--- a/src/services/fleet_control/node/fleet_control.ts
+++ b/src/services/fleet_control/node/fleet_control.ts
@@ -1,8 +1,8 @@
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 import type {Clock} from '../../../base/common/clock';
-import {err, ok, type Result} from '../../../base/common/outcome';
+import {err, ok, type Result} from '../../../base/common/result';
 import type {Log} from '../../../base/node/log';
-import {ownController, every} from '../../../base/node/timers';
+import {createAbortController, every} from '../../../base/node/timers';
 import type {Catalog, Member} from '../../../schema/generated/fleet';
 import type {LimitPrecision} from '../../account/common/limit_precision';
 import type {ShareAllocator} from '../../account/common/permit_counting';
@@ -69,7 +69,7 @@
  */
 export class FleetControl {
   private roster = new Roster();
-  private leadership = ownController();
+  private leadership = createAbortController();
   private promotions: ServicePromotions | undefined;
   private readonly joiners = new Map<string, Joiner>();
   private readonly proposals = new SingleFlight();
@@ -151,7 +151,7 @@
   onDidChangeRole(isLeader: boolean): void {
     const wasLeader = this.leadingSince !== Infinity;
     this.leadership.abort();
-    this.leadership = ownController();
+    this.leadership = createAbortController();
     this.promotions = undefined;
     this.roster = new Roster();
     this.poolerPlanner = new PoolerPlanner(this.dependencies.clock.now());
--- a/src/services/fleet_control/node/service_promotions.ts
+++ b/src/services/fleet_control/node/service_promotions.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '../../../base/common/clock';
-import type {Result} from '../../../base/common/outcome';
+import type {Result} from '../../../base/common/result';
 import type {Log} from '../../../base/node/log';
-import {ownController} from '../../../base/node/timers';
+import {createAbortController} from '../../../base/node/timers';
 import {
   ClaimedRole,
   type FleetCommand,
@@ -28,7 +28,7 @@
 export interface MemberAccess {
   readonly connector: TargetConnector;
   readonly reader: StatusReader;
-  readonly orders: PromotionAccess;
+  readonly promotionAccess: PromotionAccess;
 }
 
 /** The dependencies of `ServicePromotions`, for one leadership. */
@@ -170,7 +170,7 @@
     if (existing?.address === member.address) return existing.monitor;
     existing?.end();
     const {memberAccess, clock} = this.dependencies;
-    const controller = ownController();
+    const controller = createAbortController();
     const end = () => controller.abort();
     this.signal.addEventListener('abort', end, {once: true});
     const monitor = new MemberMonitor(
@@ -205,7 +205,7 @@
       holder,
       clock,
       log,
-      access: memberAccess.orders,
+      access: memberAccess.promotionAccess,
       members: () => this.membersOf(service),
       claimedPrimary: () => claimedPrimaryOf(roster, service),
       assignment: () => machine.assignmentOf(service),
--- a/src/services/fleet_control/test/node/limit_coordinator.test.ts
+++ b/src/services/fleet_control/test/node/limit_coordinator.test.ts
@@ -1,6 +1,6 @@
 import {beforeEach, expect, it} from 'vitest';
 import {ManualClock} from '../../../../base/common/clock';
-import {ok} from '../../../../base/common/outcome';
+import {ok} from '../../../../base/common/result';
 import type {AccountEntry} from '../../../../schema/generated/fleet';
 import {SHARE_LEASE_MS} from '../../../account/common/permit_counting';
 import {NO_LIMIT_WINDOW} from '../../../account/common/limit_precision';
--- a/src/services/fleet_link/node/fleet_leader.ts
+++ b/src/services/fleet_link/node/fleet_leader.ts
@@ -204,9 +204,9 @@
       this.failureReportedSince.set(instance, now);
     }
     return {
-      proxies: observers.length,
-      complaints: reporting.length,
-      complainedMs: now - (this.failureReportedSince.get(instance) ?? now),
+      proxyCount: observers.length,
+      reportCount: reporting.length,
+      reportedMs: now - (this.failureReportedSince.get(instance) ?? now),
     };
   }
 
@@ -442,7 +442,7 @@
 
   private detach(follower: Follower): void {
     if (!this.followers.delete(follower)) return;
-    follower.link.finish();
+    follower.link.endAfterFlush();
     const {instance} = follower;
     this.log.info('A proxy detached.', {instance});
     if (instance === '') return;
--- a/src/services/fleet_link/node/fleet_protocol.ts
+++ b/src/services/fleet_link/node/fleet_protocol.ts
@@ -8,5 +8,5 @@
   responses: LeaderMessage,
   // A leader answers each proxy at least twice in this time; a new leader is
   // elected in about the same time.
-  silenceMs: 1_000,
+  maxSilenceMs: 1_000,
 };
--- a/src/services/fleet_link/test/node/fleet_link.test.ts
+++ b/src/services/fleet_link/test/node/fleet_link.test.ts
@@ -292,9 +292,9 @@
   await until(() => [pooler, ...others].every(one => one.isAttached));
   pooler.report({service: 'books', instance: 'm1', trouble: 'unreachable'});
   await until(
-    () => first.leader.failureReportsOf('books', 'm1').complaints === 1,
+    () => first.leader.failureReportsOf('books', 'm1').reportCount === 1,
   );
-  expect(first.leader.failureReportsOf('books', 'm1').proxies).toBe(1);
+  expect(first.leader.failureReportsOf('books', 'm1').proxyCount).toBe(1);
 });
 
 it('sends the delta of a catalog, and all of it to new proxies', async () => {
--- a/src/services/fleet_link/test/node/leader_load.test.ts
+++ b/src/services/fleet_link/test/node/leader_load.test.ts
@@ -1,6 +1,6 @@
 import {afterEach, expect, it, vi} from 'vitest';
 import {ManualClock} from '../../../../base/common/clock';
-import {frameOf} from '../../../../base/node/message_frames';
+import {encodeBytes} from '../../../../base/node/message_frames';
 import type {LinkListener} from '../../../../base/node/message_link';
 import type {MessageServer} from '../../../../base/node/message_server';
 import {
@@ -66,7 +66,7 @@
 
   write(message: LeaderMessage): void {
     if (message.body?.$case === 'renewed') this.renewals++;
-    this.writeFrame(frameOf(LeaderMessage.encode(message).finish()));
+    this.writeFrame(encodeBytes(LeaderMessage.encode(message).finish()));
   }
 
   writeFrame(frame: Uint8Array): void {
@@ -74,7 +74,7 @@
     this.messages++;
   }
 
-  finish(): void {}
+  endAfterFlush(): void {}
 }
 
 const NO_COUNTERS: readonly CounterEntry[] = [];
--- a/src/services/gateway/common/caller_channel.ts
+++ b/src/services/gateway/common/caller_channel.ts
@@ -9,7 +9,7 @@
 
 /** Sends replies to a caller, independently of its protocol. */
 export interface CallerChannel {
-  answer(reply: CallerReply): void;
+  sendReply(reply: CallerReply): void;
   /** Ends the session; no request of the caller is pending. */
   close(): void;
 }
--- a/src/services/gateway/node/catalog_authorizer.ts
+++ b/src/services/gateway/node/catalog_authorizer.ts
@@ -3,7 +3,7 @@
   memberUser,
   type CallerName,
 } from '../../../base/common/ids';
-import {err, ok, type Result} from '../../../base/common/outcome';
+import {err, ok, type Result} from '../../../base/common/result';
 import type {DatabaseRoute} from '../../../schema/generated/fleet';
 import type {CatalogLease} from '../../account/common/catalog_lease';
 import {digestOfKey} from '../../account/node/key_digest';
--- a/src/services/gateway/node/checked_out_connection.ts
+++ b/src/services/gateway/node/checked_out_connection.ts
@@ -121,15 +121,15 @@
     reply: MemberReply,
     kind?: MemberObservation['kind'],
   ): void {
-    const answeredAt = this.dependencies.clock.now();
+    const receivedAt = this.dependencies.clock.now();
     const position = reply.kind === 'answer' ? reply.position : undefined;
     this.dispatcher.post({
       kind: 'observed',
       observation: {
         instance: this.instance,
         epoch: this.checkout.epoch,
-        askedAt: sentAt,
-        answeredAt,
+        requestedAt: sentAt,
+        receivedAt,
         position,
         kind: kind ?? observationKindOf(reply),
       },
@@ -144,8 +144,8 @@
     if (isClean && this.workMs > 0) this.details.onDidWork(this.workMs);
     const {pooled} = this.checkout;
     this.dispatcher.post({
-      kind: 'return',
-      returned: {pooled, isClean: isClean},
+      kind: 'release',
+      released: {pooled, isClean: isClean},
     });
   }
 }
--- a/src/services/gateway/node/gateway.ts
+++ b/src/services/gateway/node/gateway.ts
@@ -1,5 +1,5 @@
 import type {CallerName, MemberUser} from '../../../base/common/ids';
-import type {Result} from '../../../base/common/outcome';
+import type {Result} from '../../../base/common/result';
 import type {Clock} from '../../../base/common/clock';
 import type {Log} from '../../../base/node/log';
 import type {
@@ -195,7 +195,7 @@
       this.assignments.set(assignment.service, assignment);
       this.dispatchers
         .get(assignment.service)
-        ?.post({kind: 'primary', lead: assignment});
+        ?.post({kind: 'primary', assignment});
     }
   }
 
@@ -278,9 +278,9 @@
       () => (isAnswered ? 0 : startupWaitMs),
     );
     const sessionChannel = {
-      answer: (reply: CallerReply) => {
+      sendReply: (reply: CallerReply) => {
         isAnswered = true;
-        channel.answer(reply);
+        channel.sendReply(reply);
       },
       close: () => channel.close(),
     };
@@ -327,13 +327,13 @@
     if (definition) dispatcher.post(this.definitionOf(definition));
     this.sendMembersTo(dispatcher, service);
     const assignment = this.assignments.get(service);
-    if (assignment) dispatcher.post({kind: 'primary', lead: assignment});
+    if (assignment) dispatcher.post({kind: 'primary', assignment});
     return dispatcher;
   }
 
   private definitionOf(definition: ServiceEntry): DispatcherMessage {
-    const isByClass = this.classes.isEnabled(definition.service);
-    return {kind: 'definition', definition, isByClass};
+    const usesClasses = this.classes.isEnabled(definition.service);
+    return {kind: 'definition', definition, usesClasses};
   }
 
   /** A pooler runs only shared work itself; accounts may use another one. */
@@ -395,6 +395,6 @@
   private sendMembersTo(dispatcher: ServiceDispatcher, service: string): void {
     const members = this.members.get(service);
     const peers = this.peersOf(service);
-    dispatcher.post({kind: 'members', members, sharers: peers});
+    dispatcher.post({kind: 'members', members, peers});
   }
 }
--- a/src/services/gateway/node/gateway_session.ts
+++ b/src/services/gateway/node/gateway_session.ts
@@ -117,7 +117,7 @@
     const position = this.context.sessionState.lastCommit?.position;
     // A request that follows a PREPARE or SET may already have been sent.
     this.hasAnswered ||= result.kind === 'error' || result.signature !== '';
-    this.channel.answer({result, state, position});
+    this.channel.sendReply({result, state, position});
     const route = this.context.route();
     if (!route) return;
     const tookMs = this.context.clock.now() - receivedAt;
@@ -223,7 +223,7 @@
       statement: memberStatement,
       isWrite,
       route,
-      since: receivedAt,
+      receivedAt,
     };
     const runner = this.context.runnerOf(route.service);
     return yield* runner.runStatement(this.context, request);
--- a/src/services/gateway/node/local_transaction.ts
+++ b/src/services/gateway/node/local_transaction.ts
@@ -1,4 +1,4 @@
-import {pause, type Task} from '../../../base/node/task';
+import {sleep, type Task} from '../../../base/node/task';
 import {Consistency, type DatabaseRoute} from '../../../schema/generated/fleet';
 import {
   DONE_LOCALLY,
@@ -16,7 +16,7 @@
 } from './checked_out_connection';
 import {prepareConnection, type MemberStatement} from './statement_preparation';
 import {
-  canRetry,
+  tryTakeRetry,
   refusalResult,
   checkOutConnection,
   type SessionContext,
@@ -151,10 +151,10 @@
       };
       context.telemetry.recordRetry(requestId, route.service, attempt);
       const isLast = attempts >= MAX_ATTEMPTS || now >= deadline;
-      if (isLast || !canRetry(context, requestId, route.service, reason)) {
+      if (isLast || !tryTakeRetry(context, requestId, route.service, reason)) {
         return failure('busy', `${reason}, retry after 100 ms`);
       }
-      yield* pause(BUSY_RETRY_DELAY_MS);
+      yield* sleep(BUSY_RETRY_DELAY_MS);
     }
   }
 
@@ -191,7 +191,7 @@
     connection.reportObservation(
       sentAt,
       reply!,
-      isPrimary ? 'leads' : undefined,
+      isPrimary ? 'primary' : undefined,
     );
     if (isDone(reply)) {
       const remainingMs = deadline - context.clock.now();
@@ -237,7 +237,7 @@
       );
       connection.reportObservation(sentAt, reply!);
       if (isBusy(reply) && clock.now() + BUSY_RETRY_DELAY_MS < deadline) {
-        yield* pause(BUSY_RETRY_DELAY_MS);
+        yield* sleep(BUSY_RETRY_DELAY_MS);
         continue;
       }
       return this.outcomeOf(reply!, isWrite);
@@ -274,14 +274,14 @@
       const call = {requestId, statement: COMMIT};
       const [reply] = yield* connection.send([call], deadline - sentAt);
       if (isBusy(reply) && clock.now() + BUSY_RETRY_DELAY_MS < deadline) {
-        yield* pause(BUSY_RETRY_DELAY_MS);
+        yield* sleep(BUSY_RETRY_DELAY_MS);
         continue;
       }
       const isPrimary = isDone(reply) && this.hasWritten;
       connection.reportObservation(
         sentAt,
         reply!,
-        isPrimary ? 'leads' : undefined,
+        isPrimary ? 'primary' : undefined,
       );
       connection.release(isOutsideTransaction(reply));
       if (reply?.kind !== 'answer') {
--- a/src/services/gateway/node/member_verified_leases.ts
+++ b/src/services/gateway/node/member_verified_leases.ts
@@ -40,10 +40,10 @@
     term: number,
   ): Promise<boolean> {
     return new Promise(resolve => {
-      const request = {epoch, term, timeoutMs, settle: resolve};
+      const request = {epoch, term, timeoutMs, resolve};
       const isAccepted = this.dispatcherOf(service).post({
         kind: 'verify',
-        wish: request,
+        request,
       });
       if (!isAccepted) resolve(false);
     });
--- a/src/services/gateway/node/rate_limited_runner.ts
+++ b/src/services/gateway/node/rate_limited_runner.ts
@@ -21,11 +21,11 @@
     context: SessionContext,
     request: StatementRequest,
   ): Task<StatementResult> {
-    const {requestId, route, since} = request;
+    const {requestId, route, receivedAt} = request;
     const refusal = yield* admitOperation(context, {
       requestId,
       route,
-      receivedAt: since,
+      receivedAt,
     });
     if (refusal) return refusal;
     const result = yield* this.runner.runStatement(context, request);
--- a/src/services/gateway/node/session_context.ts
+++ b/src/services/gateway/node/session_context.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '../../../base/common/clock';
 import type {CallerName, MemberUser} from '../../../base/common/ids';
-import {err, type Result} from '../../../base/common/outcome';
-import {Reply, type Task} from '../../../base/node/task';
+import {err, type Result} from '../../../base/common/result';
+import {PendingReply, type Task} from '../../../base/node/task';
 import {Consistency, type DatabaseRoute} from '../../../schema/generated/fleet';
 import {MAX_WAIT_FRACTION} from '../../admission/common/wait_budget';
 import type {ClassAdmission} from '../../admission/common/class_admission';
@@ -103,17 +103,17 @@
   dispatcher: ServiceDispatcher,
 ): Task<Result<Checkout, CheckoutRefusal>> {
   const {callerGone} = context;
-  const reply = new Reply<Result<Checkout, CheckoutRefusal>>();
-  const request = makeCheckoutRequest(context, options, reply.give);
+  const reply = new PendingReply<Result<Checkout, CheckoutRefusal>>();
+  const request = makeCheckoutRequest(context, options, reply.resolve);
   dispatcher.post({kind: 'request', request});
-  const cancel = () => dispatcher.post({kind: 'withdraw', request});
+  const cancel = () => dispatcher.post({kind: 'cancel', request});
   if (callerGone.aborted) cancel();
   else callerGone.addEventListener('abort', cancel, {once: true});
   const outcome = yield* reply.wait();
   callerGone.removeEventListener('abort', cancel);
   if (outcome.isErr || !callerGone.aborted) return outcome;
   const {pooled} = outcome.value;
-  dispatcher.post({kind: 'return', returned: {pooled, isClean: true}});
+  dispatcher.post({kind: 'release', released: {pooled, isClean: true}});
   const detail = 'released the connection unused';
   return err({reason: 'abandoned', retryAfterMs: 0, detail});
 }
@@ -121,7 +121,7 @@
 function makeCheckoutRequest(
   context: SessionContext,
   options: CheckoutOptions,
-  settle: CheckoutRequest<Checkout>['settle'],
+  resolve: CheckoutRequest<Checkout>['resolve'],
 ): CheckoutRequest<Checkout> {
   const {caller, user, sessionState, clock} = context;
   const {route, deadline, triedInstances, waitedMs, isTransaction} = options;
@@ -149,7 +149,7 @@
     requirement: requirementOf(context, options),
     values: sessionState.values,
     triedInstances,
-    settle,
+    resolve,
   };
 }
 
@@ -211,7 +211,7 @@
  * Failures with which a member redirects a statement without running it. The
  * member is skipped for a while, so these retries end without a budget.
  */
-const REDIRECT_FAILURES: ReadonlySet<string> = new Set<Failure>([
+const REDIRECTIONS: ReadonlySet<string> = new Set<Failure>([
   'lagging',
   'not primary',
 ]);
@@ -220,13 +220,13 @@
  * Whether a request may be retried after a failure. Logs a retry that the
  * exhausted retry budget of its service does not allow.
  */
-export function canRetry(
+export function tryTakeRetry(
   {classes, telemetry}: Pick<SessionContext, 'classes' | 'telemetry'>,
   requestId: string,
   service: string,
   cause: string,
 ): boolean {
-  if (REDIRECT_FAILURES.has(cause) || classes.canRetry(service)) return true;
+  if (REDIRECTIONS.has(cause) || classes.tryTakeRetry(service)) return true;
   telemetry.recordRetryBudgetExhausted(requestId, service, cause);
   return false;
 }
--- a/src/services/gateway/node/single_statement.ts
+++ b/src/services/gateway/node/single_statement.ts
@@ -1,4 +1,4 @@
-import {pause, type Task} from '../../../base/node/task';
+import {sleep, type Task} from '../../../base/node/task';
 import {Consistency, type DatabaseRoute} from '../../../schema/generated/fleet';
 import {
   failure,
@@ -14,7 +14,7 @@
 } from './checked_out_connection';
 import {prepareConnection, type MemberStatement} from './statement_preparation';
 import {
-  canRetry,
+  tryTakeRetry,
   refusalResult,
   checkOutConnection,
   type SessionContext,
@@ -27,7 +27,7 @@
   readonly isWrite: boolean;
   readonly route: DatabaseRoute;
   /** When its last byte arrived. */
-  readonly since: number;
+  readonly receivedAt: number;
 }
 
 const BUSY_RETRY_DELAY_MS = 15;
@@ -56,9 +56,9 @@
   context: SessionContext,
   request: StatementRequest,
 ): Task<StatementResult> {
-  const {route, since, requestId} = request;
+  const {route, receivedAt, requestId} = request;
   context.classes.onRequest(route.service);
-  const deadline = since + route.statementMs;
+  const deadline = receivedAt + route.statementMs;
   const triedInstances = new Set<string>();
   let mightHaveRun = false;
   let waitedMs = 0;
@@ -68,7 +68,7 @@
       route,
       needsPrimary: needsPrimary(request),
       isTransaction: false,
-      receivedAt: since,
+      receivedAt,
       deadline,
       waitedMs,
       triedInstances,
@@ -93,14 +93,14 @@
     };
     context.telemetry.recordRetry(requestId, route.service, attempt);
     const isLast = attempts >= MAX_ATTEMPTS || now >= deadline;
-    if (isLast || !canRetry(context, requestId, route.service, detail)) {
+    if (isLast || !tryTakeRetry(context, requestId, route.service, detail)) {
       if (mightHaveRun) return failure('timeout', detail);
       return failure(
         'busy',
         `${detail}, retry after ${BUSY_RETRY_DELAY_MS * 4} ms`,
       );
     }
-    if (isBusy) yield* pause(BUSY_RETRY_DELAY_MS * attempts);
+    if (isBusy) yield* sleep(BUSY_RETRY_DELAY_MS * attempts);
   }
 }
 
@@ -181,7 +181,7 @@
   connection.reportObservation(
     sentAt,
     reply!,
-    isDone(reply) ? 'leads' : undefined,
+    isDone(reply) ? 'primary' : undefined,
   );
   connection.release(isOutsideTransaction(reply));
   if (reply?.kind !== 'answer') {
@@ -258,7 +258,7 @@
   connection.reportObservation(
     sentAt,
     probeReply ?? reply!,
-    isPrimary ? 'leads' : undefined,
+    isPrimary ? 'primary' : undefined,
   );
   connection.release(isOutsideTransaction(lastReply));
   if (reply?.kind !== 'answer') {
--- a/src/services/gateway/test/node/retry_budget.test.ts
+++ b/src/services/gateway/test/node/retry_budget.test.ts
@@ -3,7 +3,7 @@
 import {ClassAdmission} from '../../../admission/common/class_admission';
 import {GatewayMeter} from '../../node/gateway_meter';
 import {RequestTelemetry} from '../../node/request_telemetry';
-import {canRetry} from '../../node/session_context';
+import {tryTakeRetry} from '../../node/session_context';
 import {makeLog} from './session_fixture';
 
 describe('the retry budget', () => {
@@ -15,7 +15,7 @@
     const {log, lines} = makeLog();
     const journal = new RequestTelemetry(log, new GatewayMeter());
     const retry = (cause: string) => {
-      return canRetry({classes, telemetry: journal}, 'q1', 'books', cause);
+      return tryTakeRetry({classes, telemetry: journal}, 'q1', 'books', cause);
     };
     while (retry('busy'));
     expect(lines).toHaveLength(1);
--- a/src/services/gateway/test/node/session_fixture.ts
+++ b/src/services/gateway/test/node/session_fixture.ts
@@ -1,4 +1,4 @@
-import {SuspensionClock} from '../../../../base/node/suspension_clock';
+import {SuspendAwareClock} from '../../../../base/node/suspend_aware_clock';
 import {MonotonicClock} from '../../../../base/node/monotonic_clock';
 import {
   ClaimedRole,
@@ -99,7 +99,7 @@
     credential = 'c',
   ) {
     const channel = {
-      answer: (reply: CallerReply) => this.pendingReplies.shift()?.(reply),
+      sendReply: (reply: CallerReply) => this.pendingReplies.shift()?.(reply),
       close: () => {
         this.isClosed = true;
         this.abortController.abort();
@@ -135,7 +135,9 @@
 
 /** A gateway in front of a group of fake members. */
 export class TestGateway {
-  readonly clock = new SuspensionClock(new MonotonicClock(), () => Date.now());
+  readonly clock = new SuspendAwareClock(new MonotonicClock(), () =>
+    Date.now(),
+  );
   readonly stop = new AbortController();
   readonly gateway: Gateway;
   readonly captured = makeLog();
--- a/src/services/instance/common/instance_settings.ts
+++ b/src/services/instance/common/instance_settings.ts
@@ -1,4 +1,4 @@
-import {err, ok, type Result} from '../../../base/common/outcome';
+import {err, ok, type Result} from '../../../base/common/result';
 import type {LimitPrecision} from '../../account/common/limit_precision';
 import type {InstanceCapacity} from '../../connection_quota/common/capacity';
 import {parseIni} from '../../settings/common/ini_file';
--- a/src/services/instance/node/settings_watch.ts
+++ b/src/services/instance/node/settings_watch.ts
@@ -1,6 +1,6 @@
 import {readFileSync} from 'node:fs';
 import {every} from '../../../base/node/timers';
-import {err, type Result} from '../../../base/common/outcome';
+import {err, type Result} from '../../../base/common/result';
 import {toError} from '../../../base/node/task';
 import type {SettingsError} from '../../settings/common/settings';
 import {
--- a/src/services/lease/common/lease_registry.ts
+++ b/src/services/lease/common/lease_registry.ts
@@ -82,7 +82,7 @@
     return this.proxies.get(proxyName(proxy))?.lastHeardAt ?? -Infinity;
   }
 
-  forget(proxy: ProxyRecord): void {
+  remove(proxy: ProxyRecord): void {
     this.proxies.delete(proxyName(proxy));
   }
 
--- a/src/services/pool/node/target_connection.ts
+++ b/src/services/pool/node/target_connection.ts
@@ -1,7 +1,7 @@
 import {connect, type Socket} from 'node:net';
 import {serialize} from 'pg-protocol';
 import {parseAddress} from '../../../base/common/address';
-import {err, ok, type Result} from '../../../base/common/outcome';
+import {err, ok, type Result} from '../../../base/common/result';
 import {after} from '../../../base/node/timers';
 import {
   decodeDiagnostic,
--- a/src/services/pooler/common/pooler_plan.ts
+++ b/src/services/pooler/common/pooler_plan.ts
@@ -1,4 +1,4 @@
-import {hashOf} from '../../../base/common/hash';
+import {hashText} from '../../../base/common/hash';
 import type {PoolerEntry} from '../../../schema/generated/fleet';
 import {usableConnections} from '../../dispatch/common/usable_connections';
 
@@ -184,7 +184,7 @@
       const {instance, site} = candidate;
       if (poolers.some(other => other.instance === instance)) continue;
       const inSite = poolers.filter(other => other.site === site).length;
-      const hash = hashOf(`${service} ${instance}`);
+      const hash = hashText(`${service} ${instance}`);
       const isFull = inSite >= this.maxPerSite(service) ? 1 : 0;
       const rank = [isFull, this.roleCountOf(instance), inSite, hash];
       if (best && !isBefore(rank, bestRank)) continue;
--- a/src/services/pooler/common/pooler_ranking.ts
+++ b/src/services/pooler/common/pooler_ranking.ts
@@ -1,4 +1,4 @@
-import {hashOf} from '../../../base/common/hash';
+import {hashText} from '../../../base/common/hash';
 import type {MemberUser} from '../../../base/common/ids';
 import type {PoolerEntry} from '../../../schema/generated/fleet';
 
@@ -42,7 +42,7 @@
     const {location} = this;
     return rankBy(poolers, service, ({site, instance}) => [
       distanceOf(site, location),
-      hashOf(`${location.instance} ${instance}`),
+      hashText(`${location.instance} ${instance}`),
     ]);
   }
 }
@@ -69,7 +69,7 @@
     const region = primaryRegion ?? ownRegion;
     return rankBy(poolers, service, ({site, instance}) => [
       location.regionOf(site) === region ? 0 : 1,
-      hashOf(`${user} ${instance}`),
+      hashText(`${user} ${instance}`),
     ]);
   }
 }
--- a/src/services/pooler/node/pooled_runner.ts
+++ b/src/services/pooler/node/pooled_runner.ts
@@ -2,7 +2,7 @@
 import {WorkScope} from '../../../schema/generated/pooler';
 import type {Attempt} from '../../gateway/node/request_telemetry';
 import {
-  canRetry,
+  tryTakeRetry,
   refusalResult,
   type SessionContext,
 } from '../../gateway/node/session_context';
@@ -53,10 +53,10 @@
     request: StatementRequest,
   ): Task<StatementResult> {
     const {directory} = this;
-    const {route, requestId, statement, since, isWrite} = request;
+    const {route, requestId, statement, receivedAt, isWrite} = request;
     const step = encodeStep(statement, context.sessionState);
     if (!step) return failure('unknown name', 'not prepared');
-    const deadline = since + route.statementMs;
+    const deadline = receivedAt + route.statementMs;
     const excluded = new Set<PoolerLink>();
     const requirements = {
       service: route.service,
@@ -80,7 +80,7 @@
       const work = {
         route,
         requirements,
-        receivedAt: since,
+        receivedAt,
         deadline,
         requestId,
       };
@@ -99,7 +99,7 @@
           requestId,
           scope: WorkScope.WORK_SCOPE_SINGLE,
           step,
-          ageMs: toWholeMilliseconds(sentAt - since),
+          ageMs: toWholeMilliseconds(sentAt - receivedAt),
           session: encodeSession(context, sentAt),
           terms: encodeTerms(route),
         },
@@ -119,7 +119,7 @@
   }
 
   beginTransaction(
-    ...[context, route, readOnly, since]: Parameters<
+    ...[context, route, readOnly, receivedAt]: Parameters<
       StatementRunner['beginTransaction']
     >
   ): PooledTransaction {
@@ -129,7 +129,7 @@
       context,
       route,
       readOnly,
-      since,
+      receivedAt,
     );
   }
 }
@@ -160,7 +160,7 @@
   }
   telemetry.recordRetry(requestId, service, attempt);
   const {detail} = attempt;
-  if (!isLast && canRetry(context, requestId, service, detail)) {
+  if (!isLast && tryTakeRetry(context, requestId, service, detail)) {
     return undefined;
   }
   return failure('timeout', 'no answer from the pooler');
--- a/src/services/pooler/node/pooled_transaction.ts
+++ b/src/services/pooler/node/pooled_transaction.ts
@@ -8,7 +8,7 @@
 } from '../../../schema/generated/pooler';
 import type {StatementOutcome} from '../../gateway/node/local_transaction';
 import {
-  canRetry,
+  tryTakeRetry,
   refusalResult,
   type SessionContext,
 } from '../../gateway/node/session_context';
@@ -189,7 +189,7 @@
       const attempt = {instance: link.address, tookMs: 0, detail: 'no answer'};
       context.telemetry.recordRetry(requestId, route.service, attempt);
       const {detail} = attempt;
-      const mayRetry = canRetry(context, requestId, route.service, detail);
+      const mayRetry = tryTakeRetry(context, requestId, route.service, detail);
       if (!mayRetry) return undefined;
       const next = yield* this.acquireLink(excluded);
       this.remote = next && {link: next, work: next.nextWorkId()};
--- a/src/services/pooler/node/pooled_work.ts
+++ b/src/services/pooler/node/pooled_work.ts
@@ -1,6 +1,6 @@
 import {callerName, memberUser} from '../../../base/common/ids';
 import {startTask, type Task} from '../../../base/node/task';
-import {ownController} from '../../../base/node/timers';
+import {createAbortController} from '../../../base/node/timers';
 import type {DatabaseRoute} from '../../../schema/generated/fleet';
 import {WorkScope, type WorkRequest} from '../../../schema/generated/pooler';
 import {GatewaySessionState} from '../../gateway/common/gateway_session_state';
@@ -28,7 +28,7 @@
 /** A statement or a transaction that another proxy sent. */
 export class PooledWork {
   private readonly sessionState = new GatewaySessionState();
-  private readonly cancellation = ownController();
+  private readonly cancellation = createAbortController();
   private context: SessionContext | undefined;
   private route: DatabaseRoute | undefined;
   private transaction: SessionTransaction | undefined;
@@ -133,7 +133,7 @@
       statement,
       isWrite,
       route,
-      since: receivedAt,
+      receivedAt,
     };
     const result = yield* LOCAL_RUNNER.runStatement(context, statementRequest);
     return {result, state: 'idle'};
--- a/src/services/pooler/node/pooler_call.ts
+++ b/src/services/pooler/node/pooler_call.ts
@@ -1,4 +1,4 @@
-import {pause, settled, type Task} from '../../../base/node/task';
+import {sleep, settled, type Task} from '../../../base/node/task';
 import {WorkScope, type WorkRequest} from '../../../schema/generated/pooler';
 import type {SessionContext} from '../../gateway/node/session_context';
 import type {CallerReply} from '../../statement/common/statement';
@@ -43,7 +43,7 @@
     if (selected === 'local') return undefined;
     if (selected) return selected;
     if (!mayWait || !directory.isConnecting(requirements)) return undefined;
-    yield* pause(LINK_POLL_MS);
+    yield* sleep(LINK_POLL_MS);
   }
 }
 
--- a/src/services/pooler/node/pooler_link.ts
+++ b/src/services/pooler/node/pooler_link.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '../../../base/common/clock';
 import type {Log} from '../../../base/node/log';
 import {openLink, type MessageLink} from '../../../base/node/message_link';
-import {childController, everyWhileBusy} from '../../../base/node/timers';
+import {createChildController, everyWhileBusy} from '../../../base/node/timers';
 import type {
   PoolerRequest,
   PoolerResponse,
@@ -82,7 +82,7 @@
     signal: AbortSignal,
     private readonly onDidClose: () => void,
   ) {
-    this.ended = childController(signal);
+    this.ended = createChildController(signal);
     this.receivedAt = clock.now();
     this.link = openLink(address, POOLER_PROTOCOL, signal);
     this.link.start({
@@ -90,7 +90,7 @@
       onDidEnd: reason => this.end(reason),
     });
     this.ended.signal.addEventListener('abort', () => this.end('stopped'));
-    const periods = {busyMs: CHECK_INTERVAL_MS, restMs: Infinity};
+    const periods = {busyMs: CHECK_INTERVAL_MS, idleMs: Infinity};
     this.wakeCheck = everyWhileBusy(this.ended.signal, periods, () => {
       this.check();
       return this.pendingSince !== undefined;
--- a/src/services/pooler/node/pooler_protocol.ts
+++ b/src/services/pooler/node/pooler_protocol.ts
@@ -8,5 +8,5 @@
   responses: PoolerResponse,
   // A proxy itself detects the silence of a pooler with pending requests; this
   // timeout only closes idle links to one that is gone.
-  silenceMs: 6_000,
+  maxSilenceMs: 6_000,
 };
--- a/src/services/pooler/node/pooler_server.ts
+++ b/src/services/pooler/node/pooler_server.ts
@@ -1,7 +1,7 @@
 import type {Log} from '../../../base/node/log';
 import type {MessageLink} from '../../../base/node/message_link';
 import type {MessageServer} from '../../../base/node/message_server';
-import {childController} from '../../../base/node/timers';
+import {createChildController} from '../../../base/node/timers';
 import type {
   PoolerRequest,
   PoolerResponse,
@@ -85,7 +85,7 @@
     private readonly gateway: Gateway,
     signal: AbortSignal,
   ) {
-    this.ended = childController(signal);
+    this.ended = createChildController(signal);
   }
 
   get workCount(): number {
--- a/src/services/pooler/test/node/pooler.test.ts
+++ b/src/services/pooler/test/node/pooler.test.ts
@@ -4,7 +4,7 @@
   MessageLink,
 } from '../../../../base/node/message_link';
 import {MessageServer} from '../../../../base/node/message_server';
-import {ownController} from '../../../../base/node/timers';
+import {createAbortController} from '../../../../base/node/timers';
 import {Consistency} from '../../../../schema/generated/fleet';
 import {FakeGroup} from '../../../gateway/test/node/fake_group';
 import {FakeLimits} from '../../../gateway/test/node/fake_limits';
@@ -55,7 +55,7 @@
 
 /** A proxy with the server side of a pooler. */
 class TestPooler {
-  readonly stop = ownController();
+  readonly stop = createAbortController();
   readonly gateway: TestGateway;
   readonly server: PoolerServer;
   readonly limits = new FakeLimits();
@@ -116,7 +116,7 @@
 let edgeLimits: FakeLimits;
 
 beforeEach(async () => {
-  stop = ownController();
+  stop = createAbortController();
   group = new FakeGroup(['a', 'b', 'c']);
   near = new TestPooler('site-near', group);
   far = new TestPooler('site-far', group);
--- a/src/services/pooler/test/node/pooler_directory.test.ts
+++ b/src/services/pooler/test/node/pooler_directory.test.ts
@@ -3,7 +3,7 @@
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 import {memberUser} from '../../../../base/common/ids';
 import {ManualClock} from '../../../../base/common/clock';
-import {ownController} from '../../../../base/node/timers';
+import {createAbortController} from '../../../../base/node/timers';
 import type {PoolerEntry} from '../../../../schema/generated/fleet';
 import {makeLog} from '../../../gateway/test/node/session_fixture';
 import {SHARED_USER} from '../../../target_link/common/target_link';
@@ -43,7 +43,7 @@
     socket.on('error', () => {});
   }).listen(0, '0.0.0.0');
   await once(server, 'listening');
-  stop = ownController();
+  stop = createAbortController();
   const here = {
     instance: 'edge',
     site: 'site1',
--- a/src/services/promotion/common/assess_primary.ts
+++ b/src/services/promotion/common/assess_primary.ts
@@ -8,11 +8,11 @@
   /** Whether it just reported itself as a replica. */
   readonly isReplica: boolean;
   /** Number of proxies that are attached to control. */
-  readonly proxies: number;
+  readonly proxyCount: number;
   /** Number of proxies that report that they cannot use it. */
-  readonly complaints: number;
+  readonly reportCount: number;
   /** For how long at least half of the proxies have reported it, in ms. */
-  readonly complainedMs: number;
+  readonly reportedMs: number;
   /** Whether its leases were revoked; proxies then report no failures of it. */
   readonly isRevoked: boolean;
 }
@@ -34,7 +34,7 @@
  * serves, and a change would interrupt writes.
  */
 export function assessPrimary(observed: PrimaryObservations): Assessment {
-  const {proxies, complaints, isRefusing, silentMs} = observed;
+  const {proxyCount, reportCount, isRefusing, silentMs} = observed;
   // Guard: a restarted primary comes back as a replica that replies and is not
   // draining. No other check would replace it, and writes would stay refused.
   if (observed.isReplica) return {kind: 'replace', reason: 'it is a replica'};
@@ -42,16 +42,16 @@
   // Guard: if the first search found no successor, a silent primary whose
   // leases were revoked would be kept for lack of failure reports, and the
   // service would have no primary until it replied again.
-  const isReportedByHalf = observed.isRevoked || complaints * 2 >= proxies;
+  const isReportedByHalf = observed.isRevoked || reportCount * 2 >= proxyCount;
   const hasExited = isRefusing && silentMs >= REFUSING_TIMEOUT_MS;
   if ((hasExited || silentMs >= SILENCE_TIMEOUT_MS) && isReportedByHalf) {
     const reason = isRefusing ? 'it refuses connections' : 'it is silent';
     return {kind: 'replace', reason};
   }
   const isUnreachable =
-    complaints > 0 &&
+    reportCount > 0 &&
     isReportedByHalf &&
-    observed.complainedMs >= FAILURE_REPORT_TIMEOUT_MS;
+    observed.reportedMs >= FAILURE_REPORT_TIMEOUT_MS;
   if (isUnreachable) return {kind: 'replace', reason: 'proxies cannot use it'};
   return {kind: 'keep'};
 }
--- a/src/services/promotion/node/promotion_dependencies.ts
+++ b/src/services/promotion/node/promotion_dependencies.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '../../../base/common/clock';
-import type {Result} from '../../../base/common/outcome';
+import type {Result} from '../../../base/common/result';
 import type {Log} from '../../../base/node/log';
 import type {Member, PrimaryAssignment} from '../../../schema/generated/fleet';
 import type {MemberMonitor} from './member_monitor';
@@ -7,10 +7,10 @@
 
 /** Failure reports of the proxies about the primary of a service. */
 export interface FailureReports {
-  readonly proxies: number;
-  readonly complaints: number;
+  readonly proxyCount: number;
+  readonly reportCount: number;
   /** For how long at least half of the proxies have reported it, in ms. */
-  readonly complainedMs: number;
+  readonly reportedMs: number;
 }
 
 /** The promotion authority and what it guarantees. */
--- a/src/services/promotion/node/promotion_driver.ts
+++ b/src/services/promotion/node/promotion_driver.ts
@@ -1,4 +1,4 @@
-import {pause, settled, startTask, type Task} from '../../../base/node/task';
+import {sleep, settled, startTask, type Task} from '../../../base/node/task';
 import type {Member, PrimaryAssignment} from '../../../schema/generated/fleet';
 import {ClaimedRole} from '../../../schema/generated/fleet';
 import {assessPrimary} from '../common/assess_primary';
@@ -41,7 +41,7 @@
 
   private *run(signal: AbortSignal): Task<void> {
     while (!signal.aborted) {
-      yield* pause(CHECK_INTERVAL_MS);
+      yield* sleep(CHECK_INTERVAL_MS);
       yield* this.check(signal);
     }
   }
@@ -222,7 +222,7 @@
     const waitStartedAt = dependencies.clock.now();
     if (!search.hasSteppedDown) {
       while (dependencies.leaseHolders().length > 0 && !signal.aborted) {
-        yield* pause(LEASE_CHECK_INTERVAL_MS);
+        yield* sleep(LEASE_CHECK_INTERVAL_MS);
       }
     }
     const waitedMs = Math.round(dependencies.clock.now() - waitStartedAt);
@@ -236,7 +236,7 @@
     // A request of the previous leader may still be sent for this long.
     const remainingMs =
       this.startedAt + REQUEST_MAX_AGE_MS - dependencies.clock.now();
-    if (remainingMs > 0) yield* pause(remainingMs);
+    if (remainingMs > 0) yield* sleep(remainingMs);
     const confirmedAt = dependencies.access.clock.now();
     const previous = dependencies.assignment();
     const assigned = yield* settled(
--- a/src/services/promotion/node/promotion_requests.ts
+++ b/src/services/promotion/node/promotion_requests.ts
@@ -1,4 +1,4 @@
-import {pause, settled, type Task} from '../../../base/node/task';
+import {sleep, settled, type Task} from '../../../base/node/task';
 import {sendToAll} from './successor_search';
 import type {PromotionRequest, PromotionOutcome} from './promotion_authority';
 import type {PromotionDependencies} from './promotion_dependencies';
@@ -62,7 +62,7 @@
         log.info('The promotion took effect.', {service, instance, token});
         return 'promoted';
       }
-      yield* pause(STATUS_CHECK_INTERVAL_MS);
+      yield* sleep(STATUS_CHECK_INTERVAL_MS);
     }
     return 'unclear';
   }
--- a/src/services/promotion/test/common/assess_primary.test.ts
+++ b/src/services/promotion/test/common/assess_primary.test.ts
@@ -11,9 +11,9 @@
   isRefusing: false,
   draining: false,
   isReplica: false,
-  proxies: 6,
-  complaints: 0,
-  complainedMs: 0,
+  proxyCount: 6,
+  reportCount: 0,
+  reportedMs: 0,
   isRevoked: false,
   ...over,
 });
@@ -24,35 +24,35 @@
 
 describe('assessPrimary', () => {
   it('replaces a primary that is silent for control and the proxies', () => {
-    expect(isReplaced({silentMs: 800, complaints: 4})).toBe(true);
+    expect(isReplaced({silentMs: 800, reportCount: 4})).toBe(true);
   });
 
   it('keeps a primary that only control cannot reach', () => {
     // Guards against a needless interruption of writes during a partition
     // between control and the primary.
-    expect(isReplaced({silentMs: 5_000, complaints: 0})).toBe(false);
+    expect(isReplaced({silentMs: 5_000, reportCount: 0})).toBe(false);
   });
 
   it('replaces a primary that proxies have not reached for some time', () => {
-    const cut = {complaints: 3, complainedMs: 200};
+    const cut = {reportCount: 3, reportedMs: 200};
     expect(isReplaced(cut)).toBe(false);
-    expect(isReplaced({...cut, complainedMs: 1_200})).toBe(true);
+    expect(isReplaced({...cut, reportedMs: 1_200})).toBe(true);
   });
 
   it('keeps a primary that a minority of proxies cannot reach', () => {
-    expect(isReplaced({complaints: 2, complainedMs: 9_000})).toBe(false);
+    expect(isReplaced({reportCount: 2, reportedMs: 9_000})).toBe(false);
   });
 
   it('replaces a primary that is drained or whose process has exited', () => {
     expect(isReplaced({draining: true})).toBe(true);
-    const gone = {isRefusing: true, silentMs: 200, complaints: 6};
+    const gone = {isRefusing: true, silentMs: 200, reportCount: 6};
     expect(isReplaced(gone)).toBe(true);
   });
 
   it('replaces a silent primary whose leases were revoked', () => {
     // Guards against a service without a primary: after the first search found
     // no successor, proxies without a lease send no more failure reports.
-    const revoked = {isRevoked: true, complaints: 0};
+    const revoked = {isRevoked: true, reportCount: 0};
     expect(isReplaced({...revoked, silentMs: 1_400})).toBe(true);
     const gone = {isRefusing: true, silentMs: 200};
     expect(isReplaced({...revoked, ...gone})).toBe(true);
--- a/src/services/promotion/test/node/member_monitor.test.ts
+++ b/src/services/promotion/test/node/member_monitor.test.ts
@@ -1,5 +1,5 @@
 import {afterEach, beforeEach, expect, it, vi} from 'vitest';
-import {ok, type Result} from '../../../../base/common/outcome';
+import {ok, type Result} from '../../../../base/common/result';
 import {DONE_LOCALLY} from '../../../statement/common/statement';
 import type {
   ConnectFailure,
--- a/src/services/promotion/test/node/promotion_driver.test.ts
+++ b/src/services/promotion/test/node/promotion_driver.test.ts
@@ -1,7 +1,7 @@
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
-import {ok} from '../../../../base/common/outcome';
+import {ok} from '../../../../base/common/result';
 import {MonotonicClock} from '../../../../base/node/monotonic_clock';
-import {ownController} from '../../../../base/node/timers';
+import {createAbortController} from '../../../../base/node/timers';
 import type {
   Member,
   PrimaryAssignment,
@@ -14,7 +14,7 @@
 /** Runs the driver of one service with three members for one leadership. */
 class Leadership {
   readonly group = new SimulatedGroup(['a', 'b', 'c']);
-  readonly stop = ownController();
+  readonly stop = createAbortController();
   readonly clock = new MonotonicClock();
   readonly logger = makeLog();
   assignment: PrimaryAssignment = {
@@ -25,7 +25,7 @@
   };
   isConfirmed = true;
   isRevoked = false;
-  complaints = 0;
+  reportCount = 0;
   readonly promoted: string[] = [];
   private readonly monitors = new Map<string, MemberMonitor>();
 
@@ -52,12 +52,12 @@
       assignment: () => this.assignment,
       monitorOf: member => this.monitorOf(member),
       failureReportsOf: () => {
-        const {complaints} = this;
-        return {proxies: 4, complaints, complainedMs: 0};
+        const {reportCount} = this;
+        return {proxyCount: 4, reportCount, reportedMs: 0};
       },
       revokeLeases: () => {
         this.isRevoked = true;
-        this.complaints = 0;
+        this.reportCount = 0;
       },
       isRevoked: () => this.isRevoked,
       leaseHolders: () => [],
@@ -109,7 +109,7 @@
     const {group} = leadership;
     await pause(800);
     leadership.isConfirmed = false;
-    leadership.complaints = 4;
+    leadership.reportCount = 4;
     group.member('a').isSilent = true;
     await pause(1_600);
     expect(group.member('b').commands).not.toContain('pause');
@@ -124,7 +124,7 @@
     // leases are revoked, and proxies send no more failure reports.
     const {group} = leadership;
     await pause(800);
-    leadership.complaints = 4;
+    leadership.reportCount = 4;
     group.member('a').isSilent = true;
     group.member('c').isSilent = true;
     await until(() => leadership.isRevoked);
--- a/src/services/promotion/test/node/simulated_group.ts
+++ b/src/services/promotion/test/node/simulated_group.ts
@@ -1,4 +1,4 @@
-import {err, ok, type Result} from '../../../../base/common/outcome';
+import {err, ok, type Result} from '../../../../base/common/result';
 import type {Member} from '../../../../schema/generated/fleet';
 import type {Position} from '../../../position/common/position';
 import {
--- a/src/services/settings/common/settings.ts
+++ b/src/services/settings/common/settings.ts
@@ -9,7 +9,7 @@
   type SiteId,
 } from '../../../base/common/ids';
 import {parseAddress} from '../../../base/common/address';
-import {err, ok, type Result} from '../../../base/common/outcome';
+import {err, ok, type Result} from '../../../base/common/result';
 import {
   SECTIONS,
   type ClassSettings,
--- a/src/services/settings/node/settings_files.ts
+++ b/src/services/settings/node/settings_files.ts
@@ -1,5 +1,5 @@
 import {readFileSync} from 'node:fs';
-import {err, type Result} from '../../../base/common/outcome';
+import {err, type Result} from '../../../base/common/result';
 import {toError} from '../../../base/node/task';
 import {
   parseSettings,
--- a/src/services/target_link/common/target_link.ts
+++ b/src/services/target_link/common/target_link.ts
@@ -1,5 +1,5 @@
 import {memberUser, type MemberUser} from '../../../base/common/ids';
-import type {Result} from '../../../base/common/outcome';
+import type {Result} from '../../../base/common/result';
 import type {Position} from '../../position/common/position';
 import type {TargetCall, TargetReply} from '../../statement/common/statement';
 
--- a/src/services/wire/node/frame_connection.ts
+++ b/src/services/wire/node/frame_connection.ts
@@ -1,6 +1,6 @@
 import type {Socket} from 'node:net';
 import {Mailbox, settled, type Task} from '../../../base/node/task';
-import {after, ownController} from '../../../base/node/timers';
+import {after, createAbortController} from '../../../base/node/timers';
 import {FrameDecoder, type Frame} from '../common/frames';
 import {decodeStartup, type StartupPacket} from '../common/frontend';
 
@@ -10,7 +10,7 @@
 const STARTUP_TIMEOUT_MS = 10_000;
 
 /** An event that wakes the task of a connection. */
-export type ConnectionEvent = 'stop' | 'idle too long';
+export type ConnectionEvent = 'stop' | 'idle timeout';
 
 /** A message of the peer, or a local event. */
 export type ConnectionInput =
@@ -30,7 +30,7 @@
   private startupBytes: Buffer = Buffer.alloc(0);
   private hasStarted = false;
   private pendingCount = 0;
-  private readonly closeController = ownController();
+  private readonly closeController = createAbortController();
 
   constructor(
     private readonly socket: Socket,
@@ -99,7 +99,7 @@
   }
 
   /** Resolves when the write buffer has drained or the socket is closed. */
-  caughtUp(): Promise<void> {
+  whenDrained(): Promise<void> {
     if (!this.socket.writableNeedDrain || this.socket.destroyed) {
       return Promise.resolve();
     }
@@ -115,7 +115,7 @@
   }
 
   *waitForDrain(): Task<void> {
-    if (this.socket.writableNeedDrain) yield* settled(this.caughtUp());
+    if (this.socket.writableNeedDrain) yield* settled(this.whenDrained());
   }
 
   /** Sends final bytes and closes the connection. */
--- a/src/standin/node/main.ts
+++ b/src/standin/node/main.ts
@@ -8,8 +8,8 @@
 import {
   EXIT_UNAVAILABLE,
   EXIT_USAGE,
-  fail,
-  stopSignal,
+  exit,
+  createStopSignal,
   VERSION,
 } from '../../base/node/program';
 import {every} from '../../base/node/timers';
@@ -45,9 +45,9 @@
   const log = createLog('standin');
   const address = parseAddress(args.listen);
   if (!address) {
-    fail(EXIT_USAGE, [`--listen ${args.listen}: expected host:port`]);
+    exit(EXIT_USAGE, [`--listen ${args.listen}: expected host:port`]);
   }
-  const signal = stopSignal();
+  const signal = createStopSignal();
   const identity: MemberIdentity = {
     service: args.service,
     instance: args.instance,
@@ -66,7 +66,7 @@
   const replication = new ReplicationService(member, signal);
   replicationServer.addService(ReplicationDefinition, replication.handlers);
   const listening = await listen(replicationServer, args.replication, signal);
-  if (listening.isErr) fail(EXIT_UNAVAILABLE, [listening.error.message]);
+  if (listening.isErr) exit(EXIT_UNAVAILABLE, [listening.error.message]);
 
   const dependencies = {
     member,
--- a/src/standin/node/upstream.ts
+++ b/src/standin/node/upstream.ts
@@ -1,6 +1,6 @@
 import type {ClientReadableStream} from '@grpc/grpc-js';
-import {LINK_CREDENTIALS, LINK_OPTIONS} from '../../base/node/grpc';
-import {after, childController, every} from '../../base/node/timers';
+import {CHANNEL_CREDENTIALS, CHANNEL_OPTIONS} from '../../base/node/grpc';
+import {after, createChildController, every} from '../../base/node/timers';
 import {
   ReplicationClient,
   type ReplicationBatch,
@@ -39,12 +39,12 @@
     private readonly member: GroupMember,
     parent: AbortSignal,
   ) {
-    this.controller = childController(parent);
+    this.controller = createChildController(parent);
     const {signal} = this.controller;
     this.client = new ReplicationClient(
       address,
-      LINK_CREDENTIALS,
-      LINK_OPTIONS,
+      CHANNEL_CREDENTIALS,
+      CHANNEL_OPTIONS,
     );
     signal.addEventListener('abort', () => this.client.close());
     every(signal, TIMEOUT_MS / 4, () => this.checkTimeout());
